--- a/crates/proxy/benches/parts.rs
+++ b/crates/proxy/benches/parts.rs
@@ -34,7 +34,7 @@
             b.iter(|| {
                 at = (at + 7919) % 15_000;
                 let id = deadlines.set(Time::ORIGIN + Span::from_millis(at), 0);
-                deadlines.call_off(Some(id));
+                deadlines.cancel(Some(id));
             });
         });
     }
--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -8,8 +8,8 @@
 use sparlug::time::{Span, Time};
 
 use crate::deadlines::DeadlineId;
-use crate::failures::{is_of_one_connection, SystemCall};
-use crate::shared::{Due, Owner, Shared};
+use crate::io_failures::{affects_one_connection, SystemCall};
+use crate::shared::{Owner, Shared, TimerEvent};
 
 const FULL_PAUSE: Span = Span::from_millis(20); // while there is no room for one more
 const FAILURE_PAUSE: Span = Span::from_millis(5); // after a failure for want of something
@@ -39,7 +39,7 @@
 }
 
 /// What a look into the queue brought.
-pub enum Next<S> {
+pub enum Accepted<S> {
     Connection(S),
     /// The queue is empty.
     Empty,
@@ -54,22 +54,22 @@
     /// Whose events tell that connections are in the queue.
     owner: Owner,
     /// Connections may be waiting in the queue.
-    pub waiting: bool,
+    pub may_have_pending: bool,
     retry: Option<DeadlineId>,
     /// Since when calls have failed without one that succeeded.
     failing: Option<Time>,
     /// Since when what is in the queue may have waited there, if calls have failed.
-    pub held_up: Option<Time>,
+    pub delayed_since: Option<Time>,
 }
 
 impl<L: Listener> Acceptor<L> {
     /// Takes connections from a listener that the event queue has.
     pub fn new(listener: Option<L>, owner: Owner) -> Acceptor<L> {
-        Acceptor { listener, owner, waiting: false, retry: None, failing: None, held_up: None }
+        Acceptor { listener, owner, may_have_pending: false, retry: None, failing: None, delayed_since: None }
     }
 
     /// Takes connections from a listener that the event queue does not have yet.
-    pub fn watch(mut listener: L, owner: Owner, registry: &Registry) -> io::Result<Acceptor<L>> {
+    pub fn register(mut listener: L, owner: Owner, registry: &Registry) -> io::Result<Acceptor<L>> {
         registry.register(&mut listener, owner.token(), Interest::READABLE)?;
         Ok(Acceptor::new(Some(listener), owner))
     }
@@ -80,31 +80,31 @@
 
     /// Takes the next connection out of the queue. A failure says nothing of the calls that follow: those are made
     /// until one succeeds.
-    pub fn next(&mut self, io: &mut Shared) -> Next<L::Stream> {
-        self.waiting = true;
+    pub fn accept(&mut self, io: &mut Shared) -> Accepted<L::Stream> {
+        self.may_have_pending = true;
         for _ in 0..FAILURES_MOST {
-            let Some(listener) = &self.listener else { return Next::Closed };
+            let Some(listener) = &self.listener else { return Accepted::Closed };
             let error = match listener.accept_stream() {
                 Ok(stream) => {
                     self.succeeded(io.now);
-                    return Next::Connection(stream);
+                    return Accepted::Connection(stream);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    (self.waiting, self.held_up) = (false, None);
+                    (self.may_have_pending, self.delayed_since) = (false, None);
                     self.succeeded(io.now);
-                    return Next::Empty;
+                    return Accepted::Empty;
                 }
                 Err(e) => e,
             };
             io.counters.failures.count(SystemCall::Accept, &error);
-            self.held_up = self.held_up.or(Some(io.now));
-            if !is_of_one_connection(&error) {
+            self.delayed_since = self.delayed_since.or(Some(io.now));
+            if !affects_one_connection(&error) {
                 self.failed(&error, io);
-                return Next::Failed(error);
+                return Accepted::Failed(error);
             }
         }
         self.look_again(FAILURE_PAUSE, io);
-        Next::Empty
+        Accepted::Empty
     }
 
     fn succeeded(&mut self, now: Time) {
@@ -122,20 +122,20 @@
     }
 
     /// There is no room for one more: the next look is a deadline's.
-    pub fn is_full(&mut self, io: &mut Shared) {
+    pub fn wait_for_capacity(&mut self, io: &mut Shared) {
         // What waits for room waits no longer for a call that failed.
-        (self.waiting, self.held_up) = (true, None);
+        (self.may_have_pending, self.delayed_since) = (true, None);
         self.look_again(FULL_PAUSE, io);
     }
 
     fn look_again(&mut self, pause: Span, io: &mut Shared) {
-        io.deadlines.call_off(self.retry.take());
-        self.retry = Some(io.deadlines.set(io.now + pause, Due::Again(self.owner)));
+        io.deadlines.cancel(self.retry.take());
+        self.retry = Some(io.deadlines.set(io.now + pause, TimerEvent::Recheck(self.owner)));
     }
 
     /// Whether all that was in the queue has been taken out of it.
     pub fn is_drained(&self) -> bool {
-        self.listener.is_none() || !self.waiting
+        self.listener.is_none() || !self.may_have_pending
     }
 
     /// Listens no more.
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/attempt_result.rs
@@ -4,7 +4,7 @@
 use sparlug::event::Outcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptResult {
     /// An answer came whole; the connection may go on.
     Answered { status: u16, not_started: bool },
     /// The connection was refused, or failed while it was being made.
@@ -39,26 +39,30 @@
     Idle,
 }
 
-impl Ending {
+impl AttemptResult {
     pub fn outcome(self) -> Outcome {
         match self {
-            Ending::Answered { status: 200, .. } => Outcome::Served,
-            Ending::Answered { status: 503 | 504, not_started: true } => Outcome::Full,
+            AttemptResult::Answered { status: 200, .. } => Outcome::Served,
+            AttemptResult::Answered { status: 503 | 504, not_started: true } => Outcome::Full,
             // 408 and 429 speak of the moment, all others of the request.
-            Ending::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::Faulted,
-            Ending::Answered { .. } => Outcome::Error,
-            Ending::Refused | Ending::NeverUp | Ending::BrokeBefore => Outcome::ConnectFailed,
-            Ending::Withdrawn | Ending::NoWay | Ending::KeptBroke { written: false } => Outcome::Withdrawn,
-            Ending::KeptBroke { written: true } => Outcome::Lost,
-            Ending::BrokeAfter | Ending::CutShort | Ending::Garbled => Outcome::Broken,
-            Ending::OutOfTime { written: true } => Outcome::TimedOut,
-            Ending::CalledOff { written: true } => Outcome::Cancelled,
+            AttemptResult::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::Faulted,
+            AttemptResult::Answered { .. } => Outcome::Error,
+            AttemptResult::Refused | AttemptResult::NeverUp | AttemptResult::BrokeBefore => {
+                Outcome::ConnectFailed
+            }
+            AttemptResult::Withdrawn | AttemptResult::NoWay | AttemptResult::KeptBroke { written: false } => {
+                Outcome::Withdrawn
+            }
+            AttemptResult::KeptBroke { written: true } => Outcome::Lost,
+            AttemptResult::BrokeAfter | AttemptResult::CutShort | AttemptResult::Garbled => Outcome::Broken,
+            AttemptResult::OutOfTime { written: true } => Outcome::TimedOut,
+            AttemptResult::CalledOff { written: true } => Outcome::Cancelled,
             // What was still being written when its own time was up says nothing of the backend.
-            Ending::NoRoom
-            | Ending::TooLate
-            | Ending::Idle
-            | Ending::OutOfTime { written: false }
-            | Ending::CalledOff { written: false } => Outcome::NotSent,
+            AttemptResult::NoRoom
+            | AttemptResult::TooLate
+            | AttemptResult::Idle
+            | AttemptResult::OutOfTime { written: false }
+            | AttemptResult::CalledOff { written: false } => Outcome::NotSent,
         }
     }
 }
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/buffered_stream.rs
@@ -12,7 +12,7 @@
 use mio::{Interest, Registry, Token};
 use sparlug::time::{Span, Time};
 
-use crate::failures::Cause;
+use crate::io_failures::Cause;
 
 const INTERRUPTIONS_MOST: u32 = 16; // in a row, after which others have their turn
 const PIECE: usize = 16 * 1024; // read at once
@@ -24,7 +24,7 @@
     static SCRATCH: RefCell<[u8; PIECE]> = const { RefCell::new([0; PIECE]) };
 }
 
-pub struct Link<S = TcpStream> {
+pub struct BufferedStream<S = TcpStream> {
     /// `None` until a socket could be made.
     stream: Option<S>,
     /// The event queue has it.
@@ -51,16 +51,16 @@
     pub broken: bool,
 }
 
-impl<S: Read + Write + Source> Link<S> {
+impl<S: Read + Write + Source> BufferedStream<S> {
     /// A link on a stream, which is to be watched.
-    pub fn new(stream: S) -> Link<S> {
-        Link { stream: Some(stream), ..Link::unconnected() }
+    pub fn new(stream: S) -> BufferedStream<S> {
+        BufferedStream { stream: Some(stream), ..BufferedStream::unconnected() }
     }
 
     /// A link whose stream is still to be made.
-    pub fn unconnected() -> Link<S> {
+    pub fn unconnected() -> BufferedStream<S> {
         let (input, output) = (Vec::new(), Vec::new());
-        Link {
+        BufferedStream {
             stream: None,
             watched: false,
             input,
@@ -79,7 +79,7 @@
     }
 
     /// Has the event queue tell what happens on it, unless it does so already.
-    pub fn watch(&mut self, registry: &Registry, token: Token) -> Result<()> {
+    pub fn register(&mut self, registry: &Registry, token: Token) -> Result<()> {
         let Some(stream) = self.stream.as_mut().filter(|_| !self.watched) else { return Ok(()) };
         let watched = registry.register(stream, token, Interest::READABLE | Interest::WRITABLE);
         self.watched = watched.is_ok();
@@ -101,8 +101,8 @@
 
     /// When it is to be looked at again without an event, if a call that failed asks for that and no earlier time is
     /// set. An error tells that the event queue did not take it.
-    pub fn settle(&mut self, now: Time, registry: &Registry, token: Token) -> (Option<Time>, Result<()>) {
-        let watched = self.watch(registry, token);
+    pub fn next_retry(&mut self, now: Time, registry: &Registry, token: Token) -> (Option<Time>, Result<()>) {
+        let watched = self.register(registry, token);
         let wanted = std::mem::take(&mut self.stalled) || watched.is_err();
         if !wanted || self.look_at.is_some_and(|at| at > now) {
             return (None, watched);
@@ -135,7 +135,7 @@
                     self.unread = false;
                     return Ok(());
                 }
-                Err(e) if Cause::of(&e).is_momentary() => {
+                Err(e) if Cause::of(&e).is_retryable() => {
                     (self.unread, self.stalled, self.read_failed) = (false, true, true);
                     return Ok(());
                 }
@@ -149,22 +149,22 @@
     }
 
     /// How much is still to be written.
-    pub fn pending(&self) -> usize {
+    pub fn unsent(&self) -> usize {
         self.output.len() - self.written
     }
 
     /// Whether something of what was queued last has been written.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_begun_writing(&self) -> bool {
         self.begun
     }
 
     /// Whether reading should go on without a new event.
-    pub fn unread(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         self.unread && !self.ended
     }
 
     /// Drops the first bytes of what was read.
-    pub fn used(&mut self, bytes: usize) -> Vec<u8> {
+    pub fn take_input(&mut self, bytes: usize) -> Vec<u8> {
         let rest = self.input.split_off(bytes);
         std::mem::replace(&mut self.input, rest)
     }
@@ -175,7 +175,7 @@
     }
 
     /// Puts other bytes in the place of some that are to be written, unless writing has begun.
-    pub fn rewrite(&mut self, place: Range<usize>, bytes: &[u8]) {
+    pub fn replace_queued(&mut self, place: Range<usize>, bytes: &[u8]) {
         if !self.begun && place.end <= self.output.len() {
             self.output.splice(place, bytes.iter().copied());
         }
@@ -192,7 +192,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted && interruptions < INTERRUPTIONS_MOST => {
                     interruptions += 1;
                 }
-                Err(e) if Cause::of(&e).is_momentary() => {
+                Err(e) if Cause::of(&e).is_retryable() => {
                     self.stalled |= e.kind() != ErrorKind::WouldBlock;
                     // Guards against a stream whose other side is never quite done with keeping all it wrote.
                     if self.written >= PIECE {
@@ -216,11 +216,11 @@
     }
 }
 
-impl Link {
-    pub fn dial(to: SocketAddr, registry: &Registry, token: Token) -> Result<Link> {
-        let mut link = Link::unconnected();
+impl BufferedStream {
+    pub fn dial(to: SocketAddr, registry: &Registry, token: Token) -> Result<BufferedStream> {
+        let mut link = BufferedStream::unconnected();
         link.connect(to)?;
-        link.watch(registry, token)?;
+        link.register(registry, token)?;
         Ok(link)
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Whether a dialled connection is up; an error if it failed. A look that fails itself is taken again.
-    pub fn up(&mut self) -> Result<bool> {
+    pub fn is_established(&mut self) -> Result<bool> {
         let Some(stream) = &self.stream else { return Ok(false) };
         match stream.take_error() {
             Ok(None) => {}
@@ -262,14 +262,14 @@
     }
 
     /// The same where it failed before.
-    pub fn set_nodelay_again(&mut self) {
+    pub fn retry_nodelay(&mut self) {
         if self.delays {
             self.set_nodelay();
         }
     }
 
     /// Ends the sending, so that the other side sees the end of what was written.
-    pub fn end_sending(&mut self) {
+    pub fn shutdown_write(&mut self) {
         if let Some(stream) = &self.stream {
             let _: io::Result<()> = stream.shutdown(Shutdown::Write);
         }
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -8,17 +8,17 @@
 use sparlug::id::{RequestId, TenantId};
 use sparlug::time::{Span, Time};
 
-use crate::acceptor::{Acceptor, Next};
+use crate::acceptor::{Accepted, Acceptor};
 use crate::body::MAX_BODY_BYTES;
+use crate::buffered_stream::BufferedStream;
 use crate::close_reason::CloseReason;
 use crate::config::Budgets;
-use crate::failures::{is_descriptor_limit, SystemCall};
 use crate::http::{
     self, HttpError, RequestHead, CLIENT_METHODS, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_MESSAGE_BYTES,
     MAX_HEAD_BYTES,
 };
-use crate::link::Link;
-use crate::shared::{ClientSlot, Due, Incoming, Note, OfClient, Owner, Shared};
+use crate::io_failures::{is_descriptor_limit, SystemCall};
+use crate::shared::{ClientSlot, ClientTag, IncomingRequest, Owner, ProxyEvent, Shared, TimerEvent};
 use crate::slots::Slots;
 
 mod answers;
@@ -55,7 +55,7 @@
     acceptor: Acceptor,
     /// Another process accepts there too.
     joined: bool,
-    clients: Slots<OfClient, Client>,
+    clients: Slots<ClientTag, Client>,
     /// Who may have to leave for a new one, by rank and then by when it was last used: those that only linger,
     /// idle ones, those whose request does not come to its end.
     leavers: [BTreeSet<(Time, ClientSlot)>; 3],
@@ -137,7 +137,7 @@
     /// It can serve from here on.
     pub fn set_ready(&mut self, io: &mut Shared) {
         if !std::mem::replace(&mut self.ready, true) {
-            io.deadlines.set(io.now, Due::Again(Owner::Listener));
+            io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Listener));
         }
     }
 
@@ -156,13 +156,15 @@
                 if self.descriptor_bound.is_some() {
                     self.set_descriptor_bound(descriptor_room()); // the limit may have been raised
                 }
-                return self.acceptor.is_full(io);
+                return self.acceptor.wait_for_capacity(io);
             }
-            match self.acceptor.next(io) {
-                Next::Connection(stream) => self.add(stream, io),
-                Next::Empty => return self.say_full(false),
-                Next::Failed(error) if is_descriptor_limit(&error) => return self.bound_by_descriptors(io),
-                Next::Failed(_) | Next::Closed => return,
+            match self.acceptor.accept(io) {
+                Accepted::Connection(stream) => self.add(stream, io),
+                Accepted::Empty => return self.say_full(false),
+                Accepted::Failed(error) if is_descriptor_limit(&error) => {
+                    return self.bound_by_descriptors(io)
+                }
+                Accepted::Failed(_) | Accepted::Closed => return,
             }
         }
     }
@@ -170,8 +172,8 @@
     /// Brings the sums and orders over all callers up to how one of them stands now.
     fn settle(&mut self, slot: ClientSlot, io: &mut Shared) {
         let Some(client) = self.clients.get_mut(slot) else { return };
-        client.link.set_nodelay_again();
-        io.settle(&mut client.link, Owner::Client(slot));
+        client.link.retry_nodelay();
+        io.schedule_retry(&mut client.link, Owner::Client(slot));
         let length = client.link.input.len();
         self.unread = self.unread + length - std::mem::replace(&mut client.counted, length);
         let rank = match client.state {
@@ -193,13 +195,13 @@
 
     fn add(&mut self, stream: TcpStream, io: &mut Shared) {
         let mut stream = Some(stream);
-        let held_up = self.acceptor.held_up;
+        let held_up = self.acceptor.delayed_since;
         // The slot is wanted for the token, so the record is made in two steps.
         let (deadlines, now) = (&mut io.deadlines, io.now);
         let slot = self.clients.insert_with(|slot| {
-            let mut link = Link::new(stream.take()?);
+            let mut link = BufferedStream::new(stream.take()?);
             link.set_nodelay();
-            let deadline = Some(deadlines.set(now + FIRST_TIME, Due::Client(slot)));
+            let deadline = Some(deadlines.set(now + FIRST_TIME, TimerEvent::ClientTimeout(slot)));
             let (state, head, upload, id, open) = (State::Reading, None, None, None, None);
             let (counted, standing) = (0, None);
             Some(Client {
@@ -220,7 +222,7 @@
         });
         if let Some(slot) = slot {
             io.counters.connections += 1;
-            io.callers += 1;
+            io.client_connections += 1;
             self.event(slot, io);
         }
     }
@@ -231,7 +233,7 @@
             io.counters.closed_unanswered.count(reason);
             tracing::debug!(id = client.id, state = ?client.state, ?reason, "closed without a whole answer");
         }
-        io.callers -= 1;
+        io.client_connections -= 1;
         self.unread -= client.counted;
         if let Some((rank, used)) = client.standing {
             self.leavers[rank].remove(&(used, slot));
@@ -240,14 +242,14 @@
             self.ids.remove(&id);
         }
         io.counters.count_response(client.open, GONE);
-        io.deadlines.call_off(client.deadline);
+        io.deadlines.cancel(client.deadline);
         if let State::Waiting(Some(request)) | State::Streaming { request, done: false, .. } = client.state {
             io.counters.clients_gone += 1;
-            io.notes.push_back(Note::Left(request));
+            io.events.push_back(ProxyEvent::ClientGone(request));
         }
         client.link.close(&io.registry);
-        if self.acceptor.waiting {
-            io.deadlines.set(io.now, Due::Again(Owner::Listener));
+        if self.acceptor.may_have_pending {
+            io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Listener));
         }
     }
 
@@ -280,8 +282,8 @@
         let read = client.fill(most, io.now);
         if client.state == State::Lingering {
             client.link.input.clear();
-            if client.link.unread() {
-                io.deadlines.set(io.now, Due::Again(Owner::Client(slot)));
+            if client.link.has_unread() {
+                io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Client(slot)));
             }
         }
         // Guards against a row of requests, more than is read at once, hiding that nobody waits for them.
@@ -296,7 +298,7 @@
             State::Answering { .. } | State::Streaming { .. } => self.write(slot, io),
             State::Reading => self.read(slot, io),
             State::Waiting(Some(request)) if client.upload.is_some() => {
-                io.notes.push_back(Note::Up(request));
+                io.events.push_back(ProxyEvent::RequestBodyReady(request));
             }
             State::Waiting(_) | State::Lingering => {}
         }
@@ -328,8 +330,9 @@
                 }
                 if !client.begun && !client.link.input.is_empty() {
                     client.begun = true;
-                    io.deadlines.call_off(client.deadline.take());
-                    client.deadline = Some(io.deadlines.set(io.now + MESSAGE_TIME, Due::Client(slot)));
+                    io.deadlines.cancel(client.deadline.take());
+                    client.deadline =
+                        Some(io.deadlines.set(io.now + MESSAGE_TIME, TimerEvent::ClientTimeout(slot)));
                 }
                 if client.head.is_some() && client.upload.is_none() {
                     client.await_body(slot, None, io);
@@ -345,7 +348,7 @@
                 }
             }
             Ok(Some((head, message, whole))) => {
-                io.deadlines.call_off(client.deadline.take());
+                io.deadlines.cancel(client.deadline.take());
                 (client.used, client.begun, client.upload) = (io.now, false, None);
                 if client.link.ended || client.hung_up {
                     return self.close(slot, CloseReason::ByClient, io);
@@ -368,7 +371,7 @@
         // Blank lines before a request are let pass.
         let blank = client.link.input.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
         if client.head.is_none() && blank > 0 {
-            client.link.used(blank);
+            client.link.take_input(blank);
         }
         if client.head.is_none() {
             client.head = http::parse_request_head(&client.link.input, CLIENT_METHODS)?.map(Box::new);
@@ -384,7 +387,7 @@
                 }
                 Ok(None) | Err(_) => false,
             };
-        let message = client.link.used(head.length + head.body.parsed_len());
+        let message = client.link.take_input(head.length + head.body.parsed_len());
         Ok(client.head.take().map(|head| (*head, message, whole)))
     }
 
@@ -435,11 +438,12 @@
         let waits = self.ends_at.map_or(waits, |end| waits.min(end.since(io.now)));
         // The client counts from when it sent, which may have been while the loop was busy or calls failed.
         let held_up = self.clients.get_mut(slot).and_then(|client| client.held_up.take());
-        let since = held_up.map_or(io.since, |since| since.min(io.since));
+        let since = held_up.map_or(io.earliest_arrival, |since| since.min(io.earliest_arrival));
         let (class, deadline) = (class as u16, since + waits);
         let tenant = tenant.unwrap_or(TenantId::NONE);
-        let incoming = Incoming { head, message, class, tenant, waits, deadline, whole };
-        io.notes.push_back(Note::Taken(slot, incoming));
+        let incoming =
+            IncomingRequest { head, message, class, tenant, timeout: waits, deadline, complete: whole };
+        io.events.push_back(ProxyEvent::RequestReceived(slot, incoming));
     }
 
     /// The id under which the client's request goes on from here.
@@ -463,10 +467,10 @@
         io: &mut Shared,
     ) -> Result<(Vec<u8>, bool), HttpError> {
         let Some(client) = self.clients.get_mut(slot) else { return Ok((Vec::new(), false)) };
-        if client.link.input.is_empty() && client.link.unread() {
+        if client.link.input.is_empty() && client.link.has_unread() {
             let _ = client.fill(io.window(), io.now);
             if client.link.ended {
-                io.deadlines.set(io.now, Due::Again(Owner::Client(slot)));
+                io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Client(slot)));
             }
         }
         let Some(body) = client.upload.as_mut().and_then(|upload| upload.body.as_mut()) else {
@@ -475,10 +479,10 @@
         let most = client.link.input.len().min(room);
         let length = body.parse(&client.link.input[..most])?;
         let over = body.is_complete();
-        let bytes = client.link.used(length);
+        let bytes = client.link.take_input(length);
         if over {
             client.upload = None;
-            io.deadlines.call_off(client.deadline.take());
+            io.deadlines.cancel(client.deadline.take());
         }
         self.settle(slot, io);
         Ok((bytes, over))
@@ -501,7 +505,8 @@
                 (upload.since, upload.heard, upload.bytes) = (io.now, io.now, 0);
             }
             if !upload.stalled(io.now) {
-                client.deadline = Some(io.deadlines.set(io.now + BODY_CHECK, Due::Client(slot)));
+                client.deadline =
+                    Some(io.deadlines.set(io.now + BODY_CHECK, TimerEvent::ClientTimeout(slot)));
                 return;
             }
         }
@@ -509,16 +514,17 @@
             State::Waiting(request) => {
                 if let (Some(request), true) = (request, client.upload.is_some()) {
                     io.counters.bad_input += 1;
-                    io.notes.push_back(Note::Left(request));
+                    io.events.push_back(ProxyEvent::ClientGone(request));
                     self.reply(slot, 408, true, io);
                 }
             }
             State::Streaming { .. } if io.now < client.used + ANSWER_TIME => {
-                client.deadline = Some(io.deadlines.set(client.used + ANSWER_TIME, Due::Client(slot)));
+                client.deadline =
+                    Some(io.deadlines.set(client.used + ANSWER_TIME, TimerEvent::ClientTimeout(slot)));
             }
             // The rest of a body that nobody wants is on its way: guards against a reset that overtakes the answer.
             State::Lingering if client.upload.as_ref().is_some_and(|upload| !upload.stalled(io.now)) => {
-                client.deadline = Some(io.deadlines.set(io.now + LINGER, Due::Client(slot)));
+                client.deadline = Some(io.deadlines.set(io.now + LINGER, TimerEvent::ClientTimeout(slot)));
             }
             State::Reading if !client.link.input.is_empty() => {
                 io.counters.bad_input += 1;
--- a/crates/proxy/src/clients/answers.rs
+++ b/crates/proxy/src/clients/answers.rs
@@ -2,9 +2,9 @@
 
 use super::{client::State, Clients, ANSWER_TIME, IDLE_TIME, LINGER};
 use crate::close_reason::CloseReason;
-use crate::failures::SystemCall;
 use crate::http::{self};
-use crate::shared::{ClientSlot, Due, Note, Owner, Shared};
+use crate::io_failures::SystemCall;
+use crate::shared::{ClientSlot, Owner, ProxyEvent, Shared, TimerEvent};
 use sparlug::id::RequestId;
 
 impl Clients {
@@ -18,15 +18,15 @@
         io: &mut Shared,
     ) {
         let Some(client) = self.clients.get_mut(slot) else { return };
-        io.deadlines.call_off(client.deadline.take());
+        io.deadlines.cancel(client.deadline.take());
         client.state = State::Streaming { request, close, done: false };
-        client.deadline = Some(io.deadlines.set(io.now + ANSWER_TIME, Due::Client(slot)));
+        client.deadline = Some(io.deadlines.set(io.now + ANSWER_TIME, TimerEvent::ClientTimeout(slot)));
         self.go_on_with(slot, bytes, false, io);
     }
 
     /// How much more of an answer it may be given now.
     pub fn room(&self, slot: ClientSlot, io: &Shared) -> usize {
-        let pending = self.clients.get(slot).map_or(usize::MAX, |client| client.link.pending());
+        let pending = self.clients.get(slot).map_or(usize::MAX, |client| client.link.unsent());
         io.window().saturating_sub(pending)
     }
 
@@ -59,20 +59,20 @@
     pub fn answer(&mut self, slot: ClientSlot, status: u16, bytes: &[u8], close: bool, io: &mut Shared) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         io.counters.count_response(client.open.take(), status);
-        io.deadlines.call_off(client.deadline.take());
+        io.deadlines.cancel(client.deadline.take());
         if let Some(id) = client.id.take() {
             self.ids.remove(&id);
         }
         client.state = State::Answering { close };
         client.link.queue(bytes);
-        client.deadline = Some(io.deadlines.set(io.now + ANSWER_TIME, Due::Client(slot)));
+        client.deadline = Some(io.deadlines.set(io.now + ANSWER_TIME, TimerEvent::ClientTimeout(slot)));
         self.write(slot, io);
         self.settle(slot, io);
     }
 
     pub(super) fn write(&mut self, slot: ClientSlot, io: &mut Shared) {
         let Some(client) = self.clients.get_mut(slot) else { return };
-        let before = client.link.pending();
+        let before = client.link.unsent();
         let all = match client.link.flush() {
             Ok(all) => all,
             Err(e) => {
@@ -80,14 +80,14 @@
                 return self.close(slot, CloseReason::WriteFailed, io);
             }
         };
-        let pending = client.link.pending();
+        let pending = client.link.unsent();
         if pending < before {
             client.used = io.now;
         }
         let close = match client.state {
             State::Streaming { request, done: false, .. } => {
                 if pending <= io.window() / 2 {
-                    io.notes.push_back(Note::Down(request));
+                    io.events.push_back(ProxyEvent::ResponseBodyReady(request));
                 }
                 return;
             }
@@ -95,7 +95,7 @@
             State::Streaming { close, .. } | State::Answering { close } => close,
             _ => return,
         };
-        io.deadlines.call_off(client.deadline.take());
+        io.deadlines.cancel(client.deadline.take());
         client.used = io.now;
         if let Some(id) = client.id.take() {
             self.ids.remove(&id);
@@ -106,11 +106,11 @@
             return self.end(slot, io);
         }
         client.state = State::Reading;
-        client.deadline = Some(io.deadlines.set(io.now + IDLE_TIME, Due::Client(slot)));
+        client.deadline = Some(io.deadlines.set(io.now + IDLE_TIME, TimerEvent::ClientTimeout(slot)));
         // What came behind the request is there already, and brings no event of its own. It waits for the
         // next round, which guards against one client's long row of requests holding up all others.
-        if client.link.unread() || !client.link.input.is_empty() {
-            io.deadlines.set(io.now, Due::Again(Owner::Client(slot)));
+        if client.link.has_unread() || !client.link.input.is_empty() {
+            io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Client(slot)));
         }
     }
 
@@ -118,10 +118,10 @@
     /// reset that overtakes the last answer, where something unread is in the way or comes in this very moment.
     pub(super) fn end(&mut self, slot: ClientSlot, io: &mut Shared) {
         let Some(client) = self.clients.get_mut(slot) else { return };
-        client.link.end_sending();
+        client.link.shutdown_write();
         client.state = State::Lingering;
-        io.deadlines.call_off(client.deadline.take());
-        client.deadline = Some(io.deadlines.set(io.now + LINGER, Due::Client(slot)));
+        io.deadlines.cancel(client.deadline.take());
+        client.deadline = Some(io.deadlines.set(io.now + LINGER, TimerEvent::ClientTimeout(slot)));
         client.link.input.clear();
         self.event(slot, io);
     }
--- a/crates/proxy/src/clients/client.rs
+++ b/crates/proxy/src/clients/client.rs
@@ -2,10 +2,10 @@
 
 use super::{BODY_CHECK, BODY_RATE, BODY_STILL, BODY_TIME};
 use crate::body::Body;
+use crate::buffered_stream::BufferedStream;
 use crate::deadlines::DeadlineId;
 use crate::http::RequestHead;
-use crate::link::Link;
-use crate::shared::{ClientSlot, Due, Shared};
+use crate::shared::{ClientSlot, Shared, TimerEvent};
 use sparlug::id::RequestId;
 use sparlug::time::Time;
 
@@ -42,7 +42,7 @@
 }
 
 pub(super) struct Client {
-    pub(super) link: Link,
+    pub(super) link: BufferedStream,
     pub(super) state: State,
     /// Behind a box: an idle connection has none, and it is larger than all the rest.
     pub(super) head: Option<Box<RequestHead>>,
@@ -72,7 +72,7 @@
             State::Reading => !self.link.input.is_empty(),
             State::Waiting(_) => true,
             State::Answering { .. } | State::Streaming { .. } => {
-                self.link.pending() > 0 || self.open.is_some()
+                self.link.unsent() > 0 || self.open.is_some()
             }
             State::Lingering => false,
         }
@@ -97,7 +97,7 @@
     /// A body begins to come, which is passed on as it does if it is known where it ends.
     pub(super) fn await_body(&mut self, slot: ClientSlot, body: Option<Body>, io: &mut Shared) {
         self.upload = Some(Box::new(Upload { body, since: io.now, heard: io.now, bytes: 0 }));
-        io.deadlines.call_off(self.deadline.take());
-        self.deadline = Some(io.deadlines.set(io.now + BODY_CHECK, Due::Client(slot)));
+        io.deadlines.cancel(self.deadline.take());
+        self.deadline = Some(io.deadlines.set(io.now + BODY_CHECK, TimerEvent::ClientTimeout(slot)));
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -13,8 +13,8 @@
 use sparlug_setup::native::{self, Directory, LogFormat, Native};
 use sparlug_setup::Setup;
 
-use crate::failures::Cause;
 use crate::http::MAX_BUFFERED_MESSAGE_BYTES;
+use crate::io_failures::Cause;
 use crate::listing::{self, Entry, List};
 use crate::management::CALLS_MOST;
 use crate::starting::again;
@@ -150,7 +150,7 @@
     /// Whether the file may be of use in a moment: it could not be read, or is still being written.
     pub fn is_momentary(&self) -> bool {
         match self {
-            ConfigError::Unreadable { error, .. } => Cause::of(error).is_momentary(),
+            ConfigError::Unreadable { error, .. } => Cause::of(error).is_retryable(),
             ConfigError::Unusable(_) => true,
         }
     }
--- a/crates/proxy/src/patience.rs
+++ b/crates/proxy/src/connect_timeout.rs
@@ -9,7 +9,7 @@
 
 /// What is known of one backend.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Known {
+pub struct ConnectHistory {
     took: Span,
     /// Connections in a row that were not up in time.
     missed: u32,
@@ -17,31 +17,31 @@
 
 /// What all backends' connections took, in ms.
 #[derive(Debug)]
-pub struct Patience {
+pub struct ConnectTimeout {
     most: Span,
     usual: Option<(f64, f64)>,
 }
 
-impl Patience {
-    pub fn new(most: Span) -> Patience {
-        Patience { most, usual: None }
+impl ConnectTimeout {
+    pub fn new(most: Span) -> ConnectTimeout {
+        ConnectTimeout { most, usual: None }
     }
 
-    pub fn came_up(&mut self, known: &mut Known, took: Span) {
-        *known = Known { took, missed: 0 };
+    pub fn record_success(&mut self, known: &mut ConnectHistory, took: Span) {
+        *known = ConnectHistory { took, missed: 0 };
         let took = took.ms();
         let (mean, deviation) = self.usual.unwrap_or((took, took / 2.0));
         let off = (took - mean).abs();
         self.usual = Some((mean + (took - mean) / 8.0, deviation + (off - deviation) / 4.0));
     }
 
-    pub fn missed(&self, known: &mut Known) {
+    pub fn record_timeout(&self, known: &mut ConnectHistory) {
         known.missed += 1;
     }
 
     /// Guards against waiting out the longest time at each of many backends that are lost together, when all that
     /// are there answer in a hundredth of it. It doubles with each miss in a row, so that a far one is reached.
-    pub fn span(&self, known: &Known) -> Span {
+    pub fn after(&self, known: &ConnectHistory) -> Span {
         let Some((mean, deviation)) = self.usual else { return self.most };
         let usual = Span::from_ms(mean + DEVIATIONS * deviation);
         let span = usual.max(known.took.scaled(OWN)).max(self.most.scaled(LEAST));
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -5,7 +5,7 @@
 use sparlug::event::Outcome;
 
 use crate::close_reason::Unanswered;
-use crate::failures::Failures;
+use crate::io_failures::IoFailures;
 use crate::logging::lines_left_out;
 
 #[derive(Default)]
@@ -31,7 +31,7 @@
     pub suspicious_lists: u64,
     /// Forwards whose last byte was written.
     pub attempts_sent: u64,
-    pub failures: Failures,
+    pub failures: IoFailures,
     pub closed_unanswered: Unanswered,
     outcomes: [u64; 11],
     /// How callers' requests ended, by class: served, refused, failed.
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -46,14 +46,14 @@
         id
     }
 
-    pub fn call_off(&mut self, id: Option<DeadlineId>) {
+    pub fn cancel(&mut self, id: Option<DeadlineId>) {
         if let Some(id) = id {
             self.waiting.remove(&id);
         }
     }
 
     /// The next that is due at `now`, among those set before `before`.
-    pub fn due(&mut self, now: Time, before: u64) -> Option<T> {
+    pub fn pop_due(&mut self, now: Time, before: u64) -> Option<T> {
         let first = self.waiting.first_entry().filter(|first| first.key().0 <= now)?;
         if first.key().1 > before {
             return None;
@@ -62,12 +62,12 @@
     }
 
     /// How many were ever set: what is set by a deadline that is due waits for the next round.
-    pub fn count(&self) -> u64 {
+    pub fn last_sequence(&self) -> u64 {
         self.set
     }
 
     /// How long until the next one.
-    pub fn wait(&self, now: Time) -> Option<Duration> {
+    pub fn time_to_next(&self, now: Time) -> Option<Duration> {
         let next = self.waiting.first_key_value()?.0 .0;
         Some(Duration::from_secs_f64(next.since(now).ms() / 1000.0))
     }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -6,11 +6,11 @@
 
 use sparlug::time::{Span, Time};
 
+use crate::buffered_stream::BufferedStream;
 use crate::deadlines::DeadlineId;
 use crate::http::{self, ResponseHead};
-use crate::link::Link;
 use crate::listing;
-use crate::shared::{Due, Note, Owner, Shared};
+use crate::shared::{Owner, ProxyEvent, Shared, TimerEvent};
 
 const WAIT: Span = Span::from_millis(1_000); // how long a call may wait for something newer, about
 const GRACE: Span = Span::from_millis(300); // for an agent's answer, beyond the time it may wait
@@ -32,7 +32,7 @@
     /// How long its calls may wait. Guards against a watch that falls silent without an end: nothing but an
     /// answer that is overdue tells it, so a long wait would hide every change for as long.
     wait: Span,
-    link: Option<Link>,
+    link: Option<BufferedStream>,
     /// Whose turn it is: an event of an earlier connection finds another number here.
     turn: u32,
     head: Option<ResponseHead>,
@@ -110,7 +110,7 @@
     }
 
     pub fn stop(&mut self, io: &mut Shared) {
-        io.deadlines.call_off(self.deadline.take());
+        io.deadlines.cancel(self.deadline.take());
         if let Some(link) = self.link.take() {
             link.close(&io.registry);
         }
@@ -122,7 +122,7 @@
         (self.since, self.reused) = (io.now, self.link.is_some());
         if self.link.is_none() {
             self.turn = self.turn.wrapping_add(1);
-            match Link::dial(address, &io.registry, Owner::Discovery(self.turn).token()) {
+            match BufferedStream::dial(address, &io.registry, Owner::Discovery(self.turn).token()) {
                 Ok(link) => self.link = Some(link),
                 Err(e) => return self.failed(&e.to_string(), io),
             }
@@ -133,9 +133,9 @@
         let wait = if query.is_some() { self.wait } else { Span::ZERO };
         let host = address;
         let call = format!("GET /v1/endpoints{} HTTP/1.1\r\nHost: {host}\r\n\r\n", query.unwrap_or_default());
-        io.deadlines.call_off(self.deadline.take());
+        io.deadlines.cancel(self.deadline.take());
         let grace = if self.pushed { GRACE } else { SERVICE_GRACE };
-        self.deadline = Some(io.deadlines.set(io.now + wait + grace, Due::List));
+        self.deadline = Some(io.deadlines.set(io.now + wait + grace, TimerEvent::Discovery));
         if let Some(link) = &mut self.link {
             link.queue(call.as_bytes());
         }
@@ -168,23 +168,23 @@
             tracing::warn!(why, lost, "discovery failed");
         }
         if !self.pushed {
-            return io.notes.push_back(Note::ListFailed);
+            return io.events.push_back(ProxyEvent::ListFailed);
         }
         // Guards against a drain that is heard late: an agent that is silent answers the call that is out when
         // discovery is back, and from then on what it has counts as told.
-        self.deadline = Some(io.deadlines.set(self.since + PACE, Due::List));
+        self.deadline = Some(io.deadlines.set(self.since + PACE, TimerEvent::Discovery));
     }
 
     fn go_on(&mut self, io: &mut Shared) {
         self.advance(io);
         if let Some(link) = &mut self.link {
-            io.settle(link, Owner::Discovery(self.turn));
+            io.schedule_retry(link, Owner::Discovery(self.turn));
         }
     }
 
     fn advance(&mut self, io: &mut Shared) {
         let Some(link) = &mut self.link else { return };
-        match link.up() {
+        match link.is_established() {
             Ok(true) => {}
             Ok(false) => return,
             Err(e) => return self.failed(&e.to_string(), io),
@@ -231,7 +231,7 @@
 
     fn listed(&mut self, io: &mut Shared) {
         let (Some(head), Some(link)) = (self.head.take(), &mut self.link) else { return };
-        let message = link.used(head.length + head.body.parsed_len());
+        let message = link.take_input(head.length + head.body.parsed_len());
         // Guards against an agent that talks without being asked, answer upon answer.
         if !link.input.is_empty() {
             return self.failed("more than was asked for", io);
@@ -268,14 +268,14 @@
         // Guards against spinning on an agent that answers at once with nothing new, or with the same again.
         let same = list.entries.is_empty() || before == Some(list.version);
         let pace = same && io.now < self.since + PACE;
-        io.notes.push_back(Note::Listed(list, before));
+        io.events.push_back(ProxyEvent::ListReceived(list, before));
         if head.close || self.link.as_ref().is_some_and(|link| link.ended) {
             self.stop(io);
         }
         self.asked = false;
-        io.deadlines.call_off(self.deadline.take());
+        io.deadlines.cancel(self.deadline.take());
         if pace {
-            self.deadline = Some(io.deadlines.set(self.since + PACE, Due::List));
+            self.deadline = Some(io.deadlines.set(self.since + PACE, TimerEvent::Discovery));
         } else {
             self.ask(io);
         }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -15,7 +15,7 @@
 use sparlug_fleet::wire::MOST;
 
 use crate::deadlines::DeadlineId;
-use crate::shared::{Due, Owner, Shared};
+use crate::shared::{Owner, Shared, TimerEvent};
 
 /// How many datagrams are read before others have their turn; the loop comes back for the rest.
 const AT_ONCE: usize = 64;
@@ -129,8 +129,8 @@
                 }
                 duties::Action::Wake(at) => {
                     let Some(on) = &mut self.on else { return };
-                    io.deadlines.call_off(on.duties_wake.take());
-                    on.duties_wake = Some(io.deadlines.set(at, Due::Duties));
+                    io.deadlines.cancel(on.duties_wake.take());
+                    on.duties_wake = Some(io.deadlines.set(at, TimerEvent::Duties));
                 }
                 duties::Action::Log(text) => tracing::info!("{text}"),
             }
@@ -183,8 +183,8 @@
                     }
                 }
                 Action::Wake(at) => {
-                    io.deadlines.call_off(on.wake.take());
-                    on.wake = Some(io.deadlines.set(at, Due::Fleet));
+                    io.deadlines.cancel(on.wake.take());
+                    on.wake = Some(io.deadlines.set(at, TimerEvent::Fleet));
                 }
                 Action::Log(text) => tracing::info!("{text}"),
                 Action::Word { from, bytes } => told.push(Told::Word(PeerId(ordinal(&from) as u16), bytes)),
@@ -228,7 +228,7 @@
                 Err(_) => {}
             }
         }
-        io.deadlines.set(io.now, Due::Again(Owner::Fleet));
+        io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Fleet));
         told
     }
 
@@ -252,8 +252,8 @@
     pub fn yield_to_next(&mut self, io: &mut Shared) {
         self.duty(duties::Event::Leave, io);
         if let Some(mut on) = self.on.take() {
-            io.deadlines.call_off(on.wake);
-            io.deadlines.call_off(on.duties_wake);
+            io.deadlines.cancel(on.wake);
+            io.deadlines.cancel(on.duties_wake);
             let _ = io.registry.deregister(&mut on.socket);
             tracing::info!("the next process is this member of the fleet now");
         }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -19,11 +19,11 @@
 };
 use sparlug::time::Span;
 
-use crate::acceptor::{Acceptor, Next};
-use crate::failures::Cause;
-use crate::link::Link;
+use crate::acceptor::{Accepted, Acceptor};
+use crate::buffered_stream::BufferedStream;
+use crate::io_failures::Cause;
 use crate::said::{line, next, State, Word, LINE_MOST};
-use crate::shared::{Due, Note, OfPeer, Owner, PeerSlot, Shared};
+use crate::shared::{HandoverSlot, HandoverTag, Owner, ProxyEvent, Shared, TimerEvent};
 use crate::slots::Slots;
 use crate::starting::again;
 
@@ -85,7 +85,7 @@
 
 /// Whether a greeting failed in a way that may pass.
 fn is_momentary(sent: &Result<usize, Errno>) -> bool {
-    sent.is_err_and(|errno| Cause::of(&errno.into()).is_momentary())
+    sent.is_err_and(|errno| Cause::of(&errno.into()).is_retryable())
 }
 
 /// Whether the process at the other end is of the same user.
@@ -119,7 +119,7 @@
 }
 
 struct Peer {
-    link: Link<UnixStream>,
+    link: BufferedStream<UnixStream>,
     /// It came after this process, to take its place.
     successor: bool,
 }
@@ -133,7 +133,7 @@
     acceptor: Acceptor<UnixListener>,
     /// One more than times in a row that this could not be had.
     wait_failures: u32,
-    peers: Slots<OfPeer, Peer>,
+    peers: Slots<HandoverTag, Peer>,
 }
 
 impl Handover {
@@ -170,7 +170,7 @@
         if socket {
             let _ = fs::remove_file(&self.path);
         }
-        let listen = || Acceptor::watch(UnixListener::bind(&self.path)?, Owner::Handover, &io.registry);
+        let listen = || Acceptor::register(UnixListener::bind(&self.path)?, Owner::Handover, &io.registry);
         match listen() {
             Ok(acceptor) => (self.acceptor, self.wait_failures) = (acceptor, 1),
             Err(e) => {
@@ -178,7 +178,7 @@
                     tracing::warn!(path = %self.path.display(), error = %e, "upgrades will hand nothing over for now");
                 }
                 self.wait_failures += 1;
-                io.deadlines.set(io.now + WAIT_PAUSE, Due::Again(Owner::Handover));
+                io.deadlines.set(io.now + WAIT_PAUSE, TimerEvent::Recheck(Owner::Handover));
             }
         }
     }
@@ -193,10 +193,10 @@
         self.peers.iter().any(|(_, peer)| peer.successor)
     }
 
-    fn add(&mut self, stream: UnixStream, successor: bool, io: &mut Shared) -> Option<PeerSlot> {
-        let slot = self.peers.insert_with(|_| Some(Peer { link: Link::new(stream), successor }))?;
+    fn add(&mut self, stream: UnixStream, successor: bool, io: &mut Shared) -> Option<HandoverSlot> {
+        let slot = self.peers.insert_with(|_| Some(Peer { link: BufferedStream::new(stream), successor }))?;
         if let Some(peer) = self.peers.get_mut(slot) {
-            io.settle(&mut peer.link, Owner::Peer(slot));
+            io.schedule_retry(&mut peer.link, Owner::Peer(slot));
         }
         Some(slot)
     }
@@ -206,7 +206,7 @@
         if self.wanted && !self.succeeded() && self.acceptor.listener().is_none() {
             self.wait(io);
         }
-        while let Next::Connection(stream) = self.acceptor.next(io) {
+        while let Accepted::Connection(stream) = self.acceptor.accept(io) {
             if !own(&stream) || self.peers.count() >= PEERS_MOST {
                 tracing::warn!("another user's process, or one too many, came for the handover");
                 continue;
@@ -230,12 +230,12 @@
             if let Some(slot) = self.add(stream, true, io) {
                 self.say(slot, &Word::State(state()), io);
                 tracing::info!(listener = sockets.is_some(), "handed over to the next process");
-                io.notes.push_back(Note::Beside);
+                io.events.push_back(ProxyEvent::HandoverPeerChanged);
             }
         }
     }
 
-    fn say(&mut self, slot: PeerSlot, word: &Word, io: &mut Shared) {
+    fn say(&mut self, slot: HandoverSlot, word: &Word, io: &mut Shared) {
         if let Some(peer) = self.peers.get_mut(slot) {
             peer.link.queue(&line(word));
         }
@@ -248,19 +248,19 @@
         all.into_iter().for_each(|slot| self.say(slot, word, io));
     }
 
-    pub fn event(&mut self, slot: PeerSlot, io: &mut Shared) {
+    pub fn event(&mut self, slot: HandoverSlot, io: &mut Shared) {
         let Some(peer) = self.peers.get_mut(slot) else { return };
         let sent = peer.link.flush();
         let read = peer.link.fill(LINE_MOST + 1);
         let why = loop {
             match next(&mut peer.link.input) {
-                Ok(Some(word)) => io.notes.push_back(Note::Said(word)),
+                Ok(Some(word)) => io.events.push_back(ProxyEvent::HandoverMessage(word)),
                 Ok(None) => break sent.err().or(read.err()).map(|e| e.to_string()),
                 Err(why) => break Some(why),
             }
         };
         if why.is_none() && !peer.link.ended {
-            io.settle(&mut peer.link, Owner::Peer(slot));
+            io.schedule_retry(&mut peer.link, Owner::Peer(slot));
             return;
         }
         let (successor, why) = (peer.successor, why.unwrap_or_else(|| "it ended".to_string()));
@@ -268,7 +268,7 @@
             peer.link.close(&io.registry);
         }
         tracing::info!(successor, why, "the process beside this one is gone");
-        io.notes.push_back(Note::Beside);
+        io.events.push_back(ProxyEvent::HandoverPeerChanged);
         // The one that was to come waited in this one's place: guards against the next one finding nobody.
         if successor && !self.succeeded() && self.acceptor.listener().is_some() {
             self.wait(io);
--- a/crates/proxy/src/failures.rs
+++ b/crates/proxy/src/io_failures.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
     /// Nobody's: the call was interrupted, or found nothing to do.
-    Nobody,
+    NoFault,
     /// This machine is short of something for the moment: descriptors, ports, memory, space.
     Shortage,
     /// A device of this machine fails.
     Device,
     /// The way to the other side.
-    Way,
+    Network,
     /// The other side refused or ended it.
-    OtherSide,
+    RemoteEnd,
     /// No error that a call documents for a moment.
     Other,
 }
@@ -26,7 +26,7 @@
 impl Cause {
     pub fn of(error: &io::Error) -> Cause {
         match Errno::from_io_error(error) {
-            Some(Errno::INTR | Errno::AGAIN | Errno::CONNABORTED) => Cause::Nobody,
+            Some(Errno::INTR | Errno::AGAIN | Errno::CONNABORTED) => Cause::NoFault,
             Some(
                 Errno::MFILE
                 | Errno::NFILE
@@ -49,32 +49,32 @@
                 | Errno::OPNOTSUPP
                 | Errno::PERM
                 | Errno::ACCESS,
-            ) => Cause::Way,
-            Some(Errno::CONNREFUSED | Errno::CONNRESET | Errno::PIPE | Errno::NOTCONN) => Cause::OtherSide,
+            ) => Cause::Network,
+            Some(Errno::CONNREFUSED | Errno::CONNRESET | Errno::PIPE | Errno::NOTCONN) => Cause::RemoteEnd,
             _ => Cause::Other,
         }
     }
 
     /// Whether the call may succeed when it is made again on the same thing.
-    pub fn is_momentary(self) -> bool {
-        matches!(self, Cause::Nobody | Cause::Shortage | Cause::Device)
+    pub fn is_retryable(self) -> bool {
+        matches!(self, Cause::NoFault | Cause::Shortage | Cause::Device)
     }
 
     fn name(self) -> &'static str {
         match self {
-            Cause::Nobody => "nobody",
+            Cause::NoFault => "nobody",
             Cause::Shortage => "shortage",
             Cause::Device => "device",
-            Cause::Way => "way",
-            Cause::OtherSide => "other_side",
+            Cause::Network => "way",
+            Cause::RemoteEnd => "other_side",
             Cause::Other => "other",
         }
     }
 }
 
 /// Whether a failure of `accept` is that of one connection, which is gone with it, and not of the listener.
-pub fn is_of_one_connection(error: &io::Error) -> bool {
-    matches!(Cause::of(error), Cause::Nobody | Cause::Way | Cause::OtherSide)
+pub fn affects_one_connection(error: &io::Error) -> bool {
+    matches!(Cause::of(error), Cause::NoFault | Cause::Network | Cause::RemoteEnd)
 }
 
 /// Whether the process has no descriptor left, of as many as its own limit allows.
@@ -117,11 +117,11 @@
 
 /// How often each call failed, by cause and error number; 0 stands for an error without one.
 #[derive(Default)]
-pub struct Failures {
+pub struct IoFailures {
     counts: BTreeMap<(SystemCall, Cause, i32), u64>,
 }
 
-impl Failures {
+impl IoFailures {
     pub fn count(&mut self, call: SystemCall, error: &io::Error) {
         let number = error.raw_os_error().unwrap_or(0);
         *self.counts.entry((call, Cause::of(error), number)).or_default() += 1;
@@ -136,7 +136,7 @@
     }
 }
 
-impl fmt::Display for Failures {
+impl fmt::Display for IoFailures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.counts.iter().try_for_each(|((call, cause, number), count)| {
             write!(f, " failed_{}_{}_{number}={count}", call.name(), cause.name())
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,23 +2,23 @@
 //! `pool` and `discovery` are the sides that it serves; the rest is what they share. Nothing here decides.
 
 pub mod acceptor;
+pub mod attempt_result;
 pub mod body;
+pub mod buffered_stream;
 pub mod clients;
 pub mod close_reason;
 pub mod config;
+pub mod connect_timeout;
 pub mod counters;
 pub mod deadlines;
 pub mod discovery;
-pub mod ending;
-pub mod failures;
 pub mod fleet;
 pub mod handover;
 pub mod http;
-pub mod link;
+pub mod io_failures;
 pub mod listing;
 pub mod logging;
 pub mod management;
-pub mod patience;
 pub mod peers;
 pub mod pool;
 pub mod proxy;
--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/management.rs
@@ -7,12 +7,12 @@
 use percent_encoding::percent_decode_str;
 use sparlug::time::{Span, Time};
 
-use crate::acceptor::{Acceptor, Next};
+use crate::acceptor::{Accepted, Acceptor};
+use crate::buffered_stream::BufferedStream;
 use crate::deadlines::DeadlineId;
 use crate::http::{self, HttpError, ADMIN_METHODS};
-use crate::link::Link;
 use crate::said::Call;
-use crate::shared::{CallSlot, Due, Note, OfCall, Owner, Shared};
+use crate::shared::{AdminSlot, AdminTag, Owner, ProxyEvent, Shared, TimerEvent};
 use crate::slots::Slots;
 use crate::starting::again;
 
@@ -22,7 +22,7 @@
 const CALL_BYTES: usize = http::MAX_HEAD_BYTES;
 
 struct Caller {
-    link: Link,
+    link: BufferedStream,
     since: Time,
     deadline: DeadlineId,
     /// Its call has come; what comes behind is thrown away until it closes.
@@ -31,7 +31,7 @@
 
 pub struct Management {
     acceptor: Acceptor,
-    callers: Slots<OfCall, Caller>,
+    callers: Slots<AdminTag, Caller>,
 }
 
 /// A call with what it was answered, where no more is needed to answer it.
@@ -40,7 +40,8 @@
 impl Management {
     /// Listens at an address, if there is one.
     pub fn new(address: Option<SocketAddr>, io: &Shared) -> Result<Management, String> {
-        let listen = |address| Acceptor::watch(TcpListener::bind(address)?, Owner::Management, &io.registry);
+        let listen =
+            |address| Acceptor::register(TcpListener::bind(address)?, Owner::Management, &io.registry);
         let fault = |e: std::io::Error| format!("cannot listen for operators on {address:?}: {e}");
         let acceptor = address.map(|address| again(|| listen(address))).transpose().map_err(fault)?;
         let acceptor = acceptor.unwrap_or_else(|| Acceptor::new(None, Owner::Management));
@@ -52,7 +53,7 @@
     }
 
     pub fn accept(&mut self, io: &mut Shared) {
-        while let Next::Connection(stream) = self.acceptor.next(io) {
+        while let Accepted::Connection(stream) = self.acceptor.accept(io) {
             while self.callers.count() >= CALLS_MOST {
                 // Guards against callers that never come to their call keeping others from theirs.
                 let oldest = self.callers.iter().min_by_key(|(_, caller)| (!caller.called, caller.since));
@@ -62,8 +63,8 @@
             let mut stream = Some(stream);
             let (deadlines, now) = (&mut io.deadlines, io.now);
             let slot = self.callers.insert_with(|slot| {
-                let link = Link::new(stream.take()?);
-                let deadline = deadlines.set(now + CALL_TIME, Due::Call(slot));
+                let link = BufferedStream::new(stream.take()?);
+                let deadline = deadlines.set(now + CALL_TIME, TimerEvent::AdminTimeout(slot));
                 Some(Caller { link, since: now, deadline, called: false })
             });
             if let Some(slot) = slot {
@@ -72,26 +73,26 @@
         }
     }
 
-    pub fn event(&mut self, slot: CallSlot, io: &mut Shared) {
+    pub fn event(&mut self, slot: AdminSlot, io: &mut Shared) {
         self.go_on(slot, io);
         if let Some(caller) = self.callers.get_mut(slot) {
-            io.settle(&mut caller.link, Owner::Call(slot));
+            io.schedule_retry(&mut caller.link, Owner::Call(slot));
         }
     }
 
-    fn go_on(&mut self, slot: CallSlot, io: &mut Shared) {
+    fn go_on(&mut self, slot: AdminSlot, io: &mut Shared) {
         let Some(caller) = self.callers.get_mut(slot) else { return };
         let read = caller.link.fill(CALL_BYTES);
         if caller.called {
             caller.link.input.clear();
             let flushed = caller.link.flush();
             if matches!(flushed, Ok(true)) {
-                caller.link.end_sending();
+                caller.link.shutdown_write();
             }
             if read.is_err() || flushed.is_err() || caller.link.ended {
                 self.close(slot, io);
-            } else if caller.link.unread() {
-                io.deadlines.set(io.now, Due::Again(Owner::Call(slot)));
+            } else if caller.link.has_unread() {
+                io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Call(slot)));
             }
             return;
         }
@@ -99,7 +100,7 @@
             Err((status, lines, body)) => self.answer(slot, status, lines, body, io),
             Ok(Some(call)) => {
                 caller.called = true;
-                io.notes.push_back(Note::Called(slot, call));
+                io.events.push_back(ProxyEvent::AdminRequestReceived(slot, call));
             }
             Ok(None) if caller.link.ended || read.is_err() => self.close(slot, io),
             Ok(None) if caller.link.input.len() >= CALL_BYTES => {
@@ -110,16 +111,16 @@
     }
 
     /// Writes the answer to a call, and with it the end of the connection.
-    pub fn answer(&mut self, slot: CallSlot, status: u16, lines: &str, body: &str, io: &mut Shared) {
+    pub fn answer(&mut self, slot: AdminSlot, status: u16, lines: &str, body: &str, io: &mut Shared) {
         let Some(caller) = self.callers.get_mut(slot) else { return };
         caller.called = true;
         caller.link.queue(&http::build_response(status, &format!("{lines}Connection: close\r\n"), body));
         self.event(slot, io);
     }
 
-    pub fn close(&mut self, slot: CallSlot, io: &mut Shared) {
+    pub fn close(&mut self, slot: AdminSlot, io: &mut Shared) {
         let Some(caller) = self.callers.remove(slot) else { return };
-        io.deadlines.call_off(Some(caller.deadline));
+        io.deadlines.cancel(Some(caller.deadline));
         caller.link.close(&io.registry);
     }
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -9,14 +9,16 @@
 use sparlug::id::BackendId;
 use sparlug::time::{Span, Time};
 
+use crate::attempt_result::AttemptResult;
+use crate::buffered_stream::RETRY_PAUSE;
 use crate::config::Budgets;
-use crate::ending::Ending;
-use crate::failures::{Cause, SystemCall};
+use crate::connect_timeout::{ConnectHistory, ConnectTimeout};
 use crate::http::MAX_BUFFERED_MESSAGE_BYTES;
-use crate::link::RETRY_PAUSE;
+use crate::io_failures::{Cause, SystemCall};
 use crate::listing::{Entry, HandedHost};
-use crate::patience::{Known, Patience};
-use crate::shared::{Begun, ConnSlot, Done, Due, Note, OfConn, Owner, Purpose, Shared};
+use crate::shared::{
+    ConnSlot, ConnTag, JobResult, Owner, ProxyEvent, Purpose, Shared, StartedResponse, TimerEvent,
+};
 use crate::slots::Slots;
 
 mod conn;
@@ -45,25 +47,25 @@
     listing: Listing,
     idle: Vec<ConnSlot>,
     conns: usize,
-    dialled: Known,
+    dialled: ConnectHistory,
 }
 
 /// What is sent, and how.
-pub struct Message<'a> {
+pub struct OutgoingRequest<'a> {
     pub bytes: &'a [u8],
     /// Nothing follows.
-    pub whole: bool,
+    pub complete: bool,
     /// It may run again, should it get lost.
-    pub again: bool,
+    pub repeatable: bool,
     /// Where the time stands that it tells, which is what is left when it is written.
-    pub told: Option<Range<usize>>,
+    pub timeout_range: Option<Range<usize>>,
     /// It may not begin from then on.
-    pub by: Option<Time>,
+    pub start_by: Option<Time>,
 }
 
 pub struct Pool {
     places: BTreeMap<BackendId, Place>,
-    conns: Slots<OfConn, Conn>,
+    conns: Slots<ConnTag, Conn>,
     /// All that stand idle, the one that was used longest ago first.
     standing: BTreeSet<(Time, ConnSlot)>,
     budgets: Budgets,
@@ -73,7 +75,7 @@
     last_up: Time,
     /// How long a connection may take at the most, and what has been learnt of it.
     dial: Span,
-    patience: Patience,
+    connect_timeout: ConnectTimeout,
     idle: Span,
 }
 
@@ -81,8 +83,18 @@
     pub fn new(budgets: Budgets, dial: Span, idle: Span) -> Pool {
         let (places, conns, standing) = Default::default();
         let idle = idle.scaled(IDLE_PART);
-        let patience = Patience::new(dial);
-        Pool { places, conns, standing, budgets, held_up: 0, last_up: Time::default(), dial, patience, idle }
+        let connect_timeout = ConnectTimeout::new(dial);
+        Pool {
+            places,
+            conns,
+            standing,
+            budgets,
+            held_up: 0,
+            last_up: Time::default(),
+            dial,
+            connect_timeout,
+            idle,
+        }
     }
 
     pub fn set_budgets(&mut self, budgets: Budgets) {
@@ -94,7 +106,7 @@
         let unsent = |conn: &Conn| conn.backend == backend && !matches!(conn.stage, Stage::Busy { .. });
         let unsent = self.conns.iter().filter(|(_, conn)| unsent(conn)).map(|(slot, _)| slot);
         for slot in unsent.collect::<Vec<_>>() {
-            self.close(slot, Ending::Withdrawn, io);
+            self.close(slot, AttemptResult::Withdrawn, io);
         }
     }
 
@@ -103,12 +115,12 @@
     }
 
     /// How many backends the list has.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.places.values().filter(|place| place.listing.condition != Condition::Gone).count()
     }
 
     /// The list as it is at hand, for the process that takes this one's place.
-    pub fn list_at_hand(&self) -> Vec<HandedHost> {
+    pub fn current_list(&self) -> Vec<HandedHost> {
         let listed = self.places.values().filter(|place| place.listing.condition != Condition::Gone);
         let entry = |place: &Place| {
             let (host, dial, stamp) = (place.host.clone(), place.life.dial, place.stamp);
@@ -117,17 +129,17 @@
         listed.map(entry).collect()
     }
 
-    pub fn lists(&self, backend: BackendId) -> bool {
+    pub fn is_listed(&self, backend: BackendId) -> bool {
         self.places.get(&backend).is_some_and(|place| place.listing.condition != Condition::Gone)
     }
 
     /// How many backends are listed as ready.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.places.values().filter(|place| place.listing.condition == Condition::Ready).count()
     }
 
     /// Takes in a change of the list.
-    pub fn list(&mut self, whole: bool, entries: &[Entry], io: &mut Shared) {
+    pub fn update_list(&mut self, whole: bool, entries: &[Entry], io: &mut Shared) {
         if whole {
             self.places.values_mut().for_each(|place| place.listing.condition = Condition::Gone);
         }
@@ -147,7 +159,7 @@
         };
         let unfit = self.conns.iter().filter(|(_, conn)| unfit(conn)).map(|(slot, _)| slot);
         for slot in unfit.collect::<Vec<_>>() {
-            self.close(slot, Ending::Withdrawn, io);
+            self.close(slot, AttemptResult::Withdrawn, io);
         }
         self.places.retain(|_, place| place.listing.condition != Condition::Gone || place.conns > 0);
     }
@@ -159,31 +171,38 @@
         &mut self,
         backend: BackendId,
         purpose: Purpose,
-        message: Message,
+        message: OutgoingRequest,
         until: Time,
         io: &mut Shared,
     ) -> Option<ConnSlot> {
-        let found = if message.again || self.held_up >= TRUSTED { self.take_idle(backend, io) } else { None };
+        let found =
+            if message.repeatable || self.held_up >= TRUSTED { self.take_idle(backend, io) } else { None };
         if found.is_some() {
             io.counters.connections_reused += 1;
         }
         let slot = match found.map_or_else(|| self.dial(backend, io), Ok) {
             Ok(slot) => slot,
             Err(ending) => {
-                let done =
-                    Done { backend, purpose, ending, took: Span::ZERO, load: Load::default(), answer: None };
-                io.notes.push_back(Note::Done(done));
+                let done = JobResult {
+                    backend,
+                    purpose,
+                    result: ending,
+                    took: Span::ZERO,
+                    load: Load::default(),
+                    response: None,
+                };
+                io.events.push_back(ProxyEvent::JobEnded(done));
                 return None;
             }
         };
         let conn = self.conns.get_mut(slot)?;
-        let deadline = io.deadlines.set(until, Due::Attempt(slot));
-        conn.job = Some(Job { purpose, sent: io.now, deadline, whole: message.whole });
+        let deadline = io.deadlines.set(until, TimerEvent::AttemptTimeout(slot));
+        conn.job = Some(Job { purpose, sent: io.now, deadline, whole: message.complete });
         conn.used = io.now;
-        conn.told = message.told.map(|place| (place, until));
-        conn.by = message.by;
+        conn.told = message.timeout_range.map(|place| (place, until));
+        conn.by = message.start_by;
         conn.link.queue(message.bytes);
-        self.go_on(slot, io);
+        self.handle_ready(slot, io);
         Some(slot)
     }
 
@@ -197,27 +216,29 @@
             // close because the proxy itself stood still.
             let fresh = io.now < conn.used + self.idle;
             if fresh && conn.quiet() {
-                io.deadlines.call_off(conn.deadline.take());
+                io.deadlines.cancel(conn.deadline.take());
                 (conn.stage, conn.kept, conn.streams) = (Stage::Busy { written: false }, true, false);
                 self.standing.remove(&(conn.used, slot));
                 return Some(slot);
             }
-            self.close(slot, Ending::Idle, io);
+            self.close(slot, AttemptResult::Idle, io);
         }
     }
 
-    fn dial(&mut self, backend: BackendId, io: &mut Shared) -> Result<ConnSlot, Ending> {
+    fn dial(&mut self, backend: BackendId, io: &mut Shared) -> Result<ConnSlot, AttemptResult> {
         let Some(Place { life, .. }) = self.places.get(&backend) else {
-            return Err(Ending::Withdrawn);
+            return Err(AttemptResult::Withdrawn);
         };
         let life = *life;
-        if self.conns.count() >= self.budgets.backends.max(self.budgets.both.saturating_sub(io.callers)) {
+        if self.conns.count()
+            >= self.budgets.backends.max(self.budgets.both.saturating_sub(io.client_connections))
+        {
             // The connection that was idle for longest makes room.
             let oldest = self.standing.first().map(|(_, slot)| *slot);
-            self.close(oldest.ok_or(Ending::NoRoom)?, Ending::Idle, io);
+            self.close(oldest.ok_or(AttemptResult::NoRoom)?, AttemptResult::Idle, io);
         }
         let conn = Conn::unconnected(backend, life, io.now);
-        let slot = self.conns.insert_with(|_| Some(conn)).ok_or(Ending::NoRoom)?;
+        let slot = self.conns.insert_with(|_| Some(conn)).ok_or(AttemptResult::NoRoom)?;
         self.places.entry(backend).and_modify(|place| place.conns += 1);
         io.backend_connections += 1;
         Ok(slot)
@@ -234,7 +255,7 @@
             job.sent = io.now; // guards against the wait for a socket counting as the backend's time
         }
         let known = self.places.get(&conn.backend).map(|place| place.dialled).unwrap_or_default();
-        let until = io.now + self.patience.span(&known);
+        let until = io.now + self.connect_timeout.after(&known);
         conn.set_dial_deadline(slot, Some(until), io);
         io.counters.connections_opened += 1;
         tracing::trace!(host = self.host_of(slot), "dialled");
@@ -245,15 +266,15 @@
         io.counters.failures.count(SystemCall::Connect, error);
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let cause = Cause::of(error);
-        if !cause.is_momentary() && cause != Cause::Way {
-            return self.close(slot, Ending::Refused, io);
+        if !cause.is_retryable() && cause != Cause::Network {
+            return self.close(slot, AttemptResult::Refused, io);
         }
         conn.dial_failure = Some(cause);
         conn.retry_at = io.now + RETRY_PAUSE;
-        io.notes.push_back(Note::Unsent(conn.backend));
-        io.deadlines.set(conn.retry_at, Due::Again(Owner::Conn(slot)));
+        io.events.push_back(ProxyEvent::SendFailed(conn.backend));
+        io.deadlines.set(conn.retry_at, TimerEvent::Recheck(Owner::Conn(slot)));
         // Want of something ends with the attempt's own time; what may be the way to this backend, with that to dial.
-        let until = (cause == Cause::Way).then_some(conn.used + self.dial);
+        let until = (cause == Cause::Network).then_some(conn.used + self.dial);
         conn.set_dial_deadline(slot, until, io);
     }
 
@@ -262,16 +283,16 @@
     }
 
     /// Does all that the connection is ready for.
-    pub fn go_on(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn handle_ready(&mut self, slot: ConnSlot, io: &mut Shared) {
         self.advance(slot, io);
         self.settle(slot, io);
     }
 
     fn settle(&mut self, slot: ConnSlot, io: &mut Shared) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        conn.link.set_nodelay_again();
-        if io.settle(&mut conn.link, Owner::Conn(slot)) && conn.job.is_some() {
-            io.notes.push_back(Note::Unsent(conn.backend));
+        conn.link.retry_nodelay();
+        if io.schedule_retry(&mut conn.link, Owner::Conn(slot)) && conn.job.is_some() {
+            io.events.push_back(ProxyEvent::SendFailed(conn.backend));
         }
     }
 
@@ -282,31 +303,31 @@
         }
         let Some(conn) = self.conns.get_mut(slot) else { return };
         if matches!(conn.stage, Stage::Dialling) {
-            match conn.link.up() {
+            match conn.link.is_established() {
                 Ok(false) => return,
                 Err(e) => {
                     io.counters.failures.count(SystemCall::Connect, &e);
-                    return self.close(slot, Ending::Refused, io);
+                    return self.close(slot, AttemptResult::Refused, io);
                 }
                 Ok(true) => {
                     self.last_up = io.now;
-                    io.deadlines.call_off(conn.deadline.take());
+                    io.deadlines.cancel(conn.deadline.take());
                     conn.stage = Stage::Busy { written: false };
                     if let Some(place) = self.places.get_mut(&conn.backend) {
-                        self.patience.came_up(&mut place.dialled, io.now.since(conn.dialled));
+                        self.connect_timeout.record_success(&mut place.dialled, io.now.since(conn.dialled));
                     }
                 }
             }
         }
         if conn.is_too_late(io.now) {
-            return self.close(slot, Ending::TooLate, io);
+            return self.close(slot, AttemptResult::TooLate, io);
         }
         conn.tell_time_left(io.now);
         if !matches!(conn.stage, Stage::Busy { .. }) {
             // Guards against closing a good connection for an event of what was read already, or for room to
             // write: only an end, or bytes that nobody asked for, end it.
             if !conn.quiet() {
-                self.close(slot, Ending::Idle, io);
+                self.close(slot, AttemptResult::Idle, io);
             }
             return;
         }
@@ -321,8 +342,8 @@
                 job.sent = if conn.used > job.sent { io.now } else { job.sent };
             }
             match job.purpose {
-                Purpose::Attempt(request, _) if !whole && conn.link.pending() <= io.window() / 2 => {
-                    io.notes.push_back(Note::Up(request));
+                Purpose::Attempt(request, _) if !whole && conn.link.unsent() <= io.window() / 2 => {
+                    io.events.push_back(ProxyEvent::RequestBodyReady(request));
                 }
                 _ => {}
             }
@@ -335,7 +356,7 @@
             failed.into_iter().for_each(|e| io.counters.failures.count(call, e));
         }
         if let (true, Some(Job { purpose: Purpose::Attempt(request, _), .. })) = (conn.streams, &conn.job) {
-            return io.notes.push_back(Note::Down(*request));
+            return io.events.push_back(ProxyEvent::ResponseBodyReady(*request));
         }
         // What was answered counts, also where the connection broke behind it.
         match Conn::answer(conn) {
@@ -346,20 +367,21 @@
                 if conn.link.input.len() >= MAX_BUFFERED_MESSAGE_BYTES && unknown {
                     self.begin(slot, io);
                 } else if conn.link.input.len() >= MAX_BUFFERED_MESSAGE_BYTES {
-                    self.close(slot, Ending::Garbled, io);
-                } else if conn.link.unread() {
+                    self.close(slot, AttemptResult::Garbled, io);
+                } else if conn.link.has_unread() {
                     // Room was made by words on the way. They are bounded, and so is this.
                     self.advance(slot, io);
                 } else if unknown && conn.deadline.is_none() {
-                    conn.deadline = Some(io.deadlines.set(io.now + BEGIN_AFTER, Due::Begin(slot)));
+                    conn.deadline =
+                        Some(io.deadlines.set(io.now + BEGIN_AFTER, TimerEvent::StartStreaming(slot)));
                 }
             }
             Ok(Came::Part { .. }) => {
                 let ending = match (written, conn.link.input.is_empty()) {
-                    (_, true) if conn.kept && conn.words == 0 => Ending::KeptBroke { written },
-                    (false, _) => Ending::BrokeBefore,
-                    (true, true) => Ending::BrokeAfter,
-                    (true, false) => Ending::CutShort,
+                    (_, true) if conn.kept && conn.words == 0 => AttemptResult::KeptBroke { written },
+                    (false, _) => AttemptResult::BrokeBefore,
+                    (true, true) => AttemptResult::BrokeAfter,
+                    (true, false) => AttemptResult::CutShort,
                 };
                 self.close(slot, ending, io);
             }
@@ -372,16 +394,16 @@
         let Some(head) = conn.head.take() else { return };
         conn.words = 0;
         self.held_up = self.held_up.saturating_add(u32::from(conn.kept));
-        let message = conn.link.used(head.length + head.body.parsed_len());
-        io.deadlines.call_off(conn.deadline.take());
-        let ending = Ending::Answered { status: head.status, not_started: head.not_started };
+        let message = conn.link.take_input(head.length + head.body.parsed_len());
+        io.deadlines.cancel(conn.deadline.take());
+        let ending = AttemptResult::Answered { status: head.status, not_started: head.not_started };
         let keep = written && !head.close;
         conn.finish(ending, head.load, Some((head, message)), io);
         self.rest(slot, ending, keep, io);
     }
 
     /// After an answer a connection stands idle, or ends.
-    fn rest(&mut self, slot: ConnSlot, ending: Ending, keep: bool, io: &mut Shared) {
+    fn rest(&mut self, slot: ConnSlot, ending: AttemptResult, keep: bool, io: &mut Shared) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let room = self.standing.len() < self.budgets.idle;
         let keep = keep && room && !conn.link.ended && conn.link.input.is_empty();
@@ -393,7 +415,7 @@
             Some(place) => {
                 conn.stage = Stage::Idle;
                 conn.used = io.now;
-                conn.deadline = Some(io.deadlines.set(io.now + self.idle, Due::Idle(slot)));
+                conn.deadline = Some(io.deadlines.set(io.now + self.idle, TimerEvent::IdleTimeout(slot)));
                 place.idle.push(slot);
                 self.standing.insert((conn.used, slot));
             }
@@ -406,22 +428,29 @@
         let (Some(Job { purpose: Purpose::Attempt(request, attempt), sent, deadline, .. }), Some(head)) =
             (&mut conn.job, &conn.head)
         else {
-            return self.close(slot, Ending::Garbled, io);
+            return self.close(slot, AttemptResult::Garbled, io);
         };
-        io.deadlines.call_off(conn.deadline.take());
-        io.deadlines.call_off(Some(*deadline));
-        *deadline = io.deadlines.set(io.now + SILENCE, Due::Attempt(slot));
+        io.deadlines.cancel(conn.deadline.take());
+        io.deadlines.cancel(Some(*deadline));
+        *deadline = io.deadlines.set(io.now + SILENCE, TimerEvent::AttemptTimeout(slot));
         (conn.streams, conn.used) = (true, io.now);
-        let message = conn.link.used(head.length + head.body.parsed_len());
+        let message = conn.link.take_input(head.length + head.body.parsed_len());
         let (backend, head, took) = (conn.backend, head.clone(), io.now.since(*sent));
         let (request, attempt) = (*request, *attempt);
-        io.notes.push_back(Note::Began(Begun { backend, request, attempt, head, message, took }));
-        io.notes.push_back(Note::Down(request));
+        io.events.push_back(ProxyEvent::ResponseStarted(StartedResponse {
+            backend,
+            request,
+            attempt,
+            head,
+            message,
+            took,
+        }));
+        io.events.push_back(ProxyEvent::ResponseBodyReady(request));
     }
 
     /// The answer has not come to its end, and its length is unknown: it goes on as it comes.
-    pub fn begin_due(&mut self, slot: ConnSlot, io: &mut Shared) {
-        self.go_on(slot, io);
+    pub fn start_streaming_due(&mut self, slot: ConnSlot, io: &mut Shared) {
+        self.handle_ready(slot, io);
         if self.conns.get_mut(slot).is_some_and(|conn| conn.awaits_end()) {
             self.begin(slot, io);
         }
@@ -429,46 +458,46 @@
 
     /// The next bytes of an answer that is passed on as it comes, `room` at the most, and whether it ends with them.
     /// If it breaks off, that is told in a note.
-    pub fn pull(&mut self, slot: ConnSlot, room: usize, io: &mut Shared) -> (Vec<u8>, bool) {
+    pub fn read_body(&mut self, slot: ConnSlot, room: usize, io: &mut Shared) -> (Vec<u8>, bool) {
         let nothing = (Vec::new(), false);
         let window = io.window();
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.streams) else { return nothing };
         let Some(head) = &mut conn.head else { return nothing };
-        if conn.link.input.is_empty() && conn.link.unread() {
+        if conn.link.input.is_empty() && conn.link.has_unread() {
             let _ = conn.link.fill(window);
-            io.settle(&mut conn.link, Owner::Conn(slot));
+            io.schedule_retry(&mut conn.link, Owner::Conn(slot));
         }
         let most = conn.link.input.len().min(room);
         let Ok(length) = head.body.parse(&conn.link.input[..most]) else {
-            self.close(slot, Ending::CutShort, io);
+            self.close(slot, AttemptResult::CutShort, io);
             return nothing;
         };
-        let bytes = conn.link.used(length);
+        let bytes = conn.link.take_input(length);
         if !bytes.is_empty() {
             conn.used = io.now;
         }
         let ended = conn.link.ended && conn.link.input.is_empty();
         let over = head.body.is_complete() || head.body.ends_at_close() && ended && !conn.link.broken;
         if over {
-            let ending = Ending::Answered { status: head.status, not_started: false };
+            let ending = AttemptResult::Answered { status: head.status, not_started: false };
             let keep = !head.close && conn.is_written();
             (conn.head, conn.words) = (None, 0);
             conn.finish(ending, Load::default(), None, io);
             self.rest(slot, ending, keep, io);
         } else if ended {
-            self.close(slot, Ending::CutShort, io);
+            self.close(slot, AttemptResult::CutShort, io);
         }
         (bytes, over)
     }
 
     /// How much more of a message can be pushed now.
-    pub fn room(&self, slot: ConnSlot, io: &Shared) -> usize {
-        let pending = self.conns.get(slot).map_or(usize::MAX, |conn| conn.link.pending());
+    pub fn write_capacity(&self, slot: ConnSlot, io: &Shared) -> usize {
+        let pending = self.conns.get(slot).map_or(usize::MAX, |conn| conn.link.unsent());
         io.window().saturating_sub(pending)
     }
 
     /// Goes on with a message that is not whole, up to its end if it is over.
-    pub fn push(&mut self, slot: ConnSlot, bytes: &[u8], over: bool, io: &mut Shared) {
+    pub fn write_body(&mut self, slot: ConnSlot, bytes: &[u8], over: bool, io: &mut Shared) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         conn.link.queue(bytes);
         if !matches!(conn.stage, Stage::Dialling) {
@@ -477,33 +506,33 @@
         if let Some(job) = &mut conn.job {
             job.whole = over;
         }
-        self.go_on(slot, io);
+        self.handle_ready(slot, io);
     }
 
     /// What a connection carries has time until then.
-    pub fn set_time(&mut self, slot: ConnSlot, until: Time, io: &mut Shared) {
+    pub fn set_attempt_timeout(&mut self, slot: ConnSlot, until: Time, io: &mut Shared) {
         if let Some(job) = self.conns.get_mut(slot).and_then(|conn| conn.job.as_mut()) {
-            io.deadlines.call_off(Some(job.deadline));
-            job.deadline = io.deadlines.set(until, Due::Attempt(slot));
+            io.deadlines.cancel(Some(job.deadline));
+            job.deadline = io.deadlines.set(until, TimerEvent::AttemptTimeout(slot));
         }
     }
 
     /// Every end of a connection, and of what it carried, comes through here.
-    fn close(&mut self, slot: ConnSlot, ending: Ending, io: &mut Shared) {
+    fn close(&mut self, slot: ConnSlot, ending: AttemptResult, io: &mut Shared) {
         let Some(mut conn) = self.conns.remove(slot) else { return };
         io.backend_connections -= 1;
-        if matches!(ending, Ending::KeptBroke { .. }) {
+        if matches!(ending, AttemptResult::KeptBroke { .. }) {
             if self.held_up >= TRUSTED {
                 tracing::info!("kept connections break, what may run once goes on new ones");
             }
             self.held_up = 0;
         }
         self.standing.remove(&(conn.used, slot));
-        io.deadlines.call_off(conn.deadline.take());
+        io.deadlines.cancel(conn.deadline.take());
         conn.finish(ending, Load::default(), None, io);
         if let Some(place) = self.places.get_mut(&conn.backend) {
-            if ending == Ending::NeverUp {
-                self.patience.missed(&mut place.dialled);
+            if ending == AttemptResult::NeverUp {
+                self.connect_timeout.record_timeout(&mut place.dialled);
             }
             place.conns -= 1;
             place.idle.retain(|idle| *idle != slot);
@@ -516,11 +545,11 @@
 
     pub fn cancel(&mut self, slot: ConnSlot, io: &mut Shared) {
         let written = self.conns.get(slot).is_some_and(Conn::is_written);
-        self.close(slot, Ending::CalledOff { written }, io);
+        self.close(slot, AttemptResult::CalledOff { written }, io);
     }
 
     /// Calls off what has not been written to its last byte, and so has not begun.
-    pub fn call_off_unwritten(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn cancel_unwritten(&mut self, slot: ConnSlot, io: &mut Shared) {
         if self.conns.get(slot).is_some_and(|conn| !conn.is_written()) {
             self.cancel(slot, io);
         }
@@ -528,53 +557,53 @@
 
     pub fn close_idle(&mut self, backend: BackendId, io: &mut Shared) {
         let idle = self.places.get(&backend).map(|place| place.idle.clone()).unwrap_or_default();
-        idle.into_iter().for_each(|slot| self.close(slot, Ending::Idle, io));
+        idle.into_iter().for_each(|slot| self.close(slot, AttemptResult::Idle, io));
     }
 
-    pub fn dial_late(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn connect_timed_out(&mut self, slot: ConnSlot, io: &mut Shared) {
         let by = self.conns.get(slot).and_then(|conn| conn.by);
         let over = by.is_some_and(|by| io.now >= by);
         let ending = match self.conns.get(slot) {
-            Some(conn) if conn.dial_failure.is_none() => Ending::NeverUp,
+            Some(conn) if conn.dial_failure.is_none() => AttemptResult::NeverUp,
             // Others came up meanwhile: it is the way to this backend.
-            Some(conn) if self.last_up > conn.used => Ending::Refused,
-            _ => Ending::NoWay,
+            Some(conn) if self.last_up > conn.used => AttemptResult::Refused,
+            _ => AttemptResult::NoWay,
         };
-        self.close(slot, if over { Ending::TooLate } else { ending }, io);
+        self.close(slot, if over { AttemptResult::TooLate } else { ending }, io);
     }
 
-    pub fn idle_over(&mut self, slot: ConnSlot, io: &mut Shared) {
-        self.close(slot, Ending::Idle, io);
+    pub fn idle_timed_out(&mut self, slot: ConnSlot, io: &mut Shared) {
+        self.close(slot, AttemptResult::Idle, io);
     }
 
     /// The time for what the connection carries is over. What has come by now still counts.
-    pub fn late(&mut self, slot: ConnSlot, io: &mut Shared) {
-        self.go_on(slot, io);
+    pub fn attempt_timed_out(&mut self, slot: ConnSlot, io: &mut Shared) {
+        self.handle_ready(slot, io);
         let Some(conn) = self.conns.get_mut(slot) else { return };
         // While a body is on its way only silence counts, and not where the other side is waited for.
         let waits = match &conn.job {
             Some(_) if conn.streams => Some(!conn.link.input.is_empty()),
-            Some(job) if !job.whole => Some(conn.link.pending() == 0),
+            Some(job) if !job.whole => Some(conn.link.unsent() == 0),
             _ => None,
         };
         if let (Some(waits), Some(job)) = (waits, &mut conn.job) {
             let since = if waits { io.now } else { conn.used };
             if io.now < since + SILENCE {
-                job.deadline = io.deadlines.set(since + SILENCE, Due::Attempt(slot));
+                job.deadline = io.deadlines.set(since + SILENCE, TimerEvent::AttemptTimeout(slot));
                 return;
             }
             if conn.streams {
-                return self.close(slot, Ending::CutShort, io);
+                return self.close(slot, AttemptResult::CutShort, io);
             }
         }
         let written = conn.is_written();
         if conn.job.is_some() {
-            self.close(slot, Ending::OutOfTime { written }, io);
+            self.close(slot, AttemptResult::OutOfTime { written }, io);
         }
     }
 
     /// How long a connection may take to come up; a check may take no longer.
-    pub fn dial_time(&self) -> Span {
+    pub fn connect_timeout(&self) -> Span {
         self.dial
     }
 
@@ -587,7 +616,7 @@
     }
 
     /// The host of the backend with whose id a text begins.
-    pub fn host_in(&self, text: &str) -> Option<&str> {
+    pub fn host_named_in(&self, text: &str) -> Option<&str> {
         let id = text.split(' ').next()?;
         let named = self.places.iter().find(|(backend, _)| backend.to_string() == id);
         named.map(|(_, place)| place.host.as_str())
--- a/crates/proxy/src/pool/conn.rs
+++ b/crates/proxy/src/pool/conn.rs
@@ -7,13 +7,13 @@
 use sparlug::time::Time;
 
 use super::{Life, WORDS_MOST};
+use crate::attempt_result::AttemptResult;
 use crate::body::MAX_BODY_BYTES;
+use crate::buffered_stream::BufferedStream;
 use crate::deadlines::DeadlineId;
-use crate::ending::Ending;
-use crate::failures::Cause;
 use crate::http::{self, HttpError, ResponseHead, MAX_BUFFERED_BODY_BYTES};
-use crate::link::Link;
-use crate::shared::{ConnSlot, Done, Due, Note, Purpose, Shared};
+use crate::io_failures::Cause;
+use crate::shared::{ConnSlot, JobResult, ProxyEvent, Purpose, Shared, TimerEvent};
 
 pub(super) enum Stage {
     Dialling,
@@ -25,7 +25,7 @@
 }
 
 pub(super) struct Conn {
-    pub(super) link: Link,
+    pub(super) link: BufferedStream,
     pub(super) backend: BackendId,
     pub(super) life: Life,
     pub(super) stage: Stage,
@@ -76,7 +76,7 @@
     pub(super) fn unconnected(backend: BackendId, life: Life, now: Time) -> Conn {
         let (job, head, told, by, dial_failure, deadline) = Default::default();
         Conn {
-            link: Link::unconnected(),
+            link: BufferedStream::unconnected(),
             backend,
             life,
             stage: Stage::Dialling,
@@ -97,27 +97,27 @@
 
     /// Sets when its dial is given up, at the latest when its message may no longer begin.
     pub(super) fn set_dial_deadline(&mut self, slot: ConnSlot, until: Option<Time>, io: &mut Shared) {
-        io.deadlines.call_off(self.deadline.take());
+        io.deadlines.cancel(self.deadline.take());
         let until = until.into_iter().chain(self.by).min();
-        self.deadline = until.map(|until| io.deadlines.set(until, Due::Dial(slot)));
+        self.deadline = until.map(|until| io.deadlines.set(until, TimerEvent::ConnectTimeout(slot)));
     }
 
     /// Whether nothing of its message is written, and it may no longer begin.
     pub(super) fn is_too_late(&self, now: Time) -> bool {
-        self.job.is_some() && !self.link.has_begun() && self.by.is_some_and(|by| now >= by)
+        self.job.is_some() && !self.link.has_begun_writing() && self.by.is_some_and(|by| now >= by)
     }
 
     /// Guards against telling the backend a time of which dialling, or a write that failed, has used up a part.
     pub(super) fn tell_time_left(&mut self, now: Time) {
         let Some((place, until)) = self.told.as_mut().filter(|_| self.used < now) else { return };
         let left = http::format_timeout(until.since(now));
-        self.link.rewrite(place.clone(), left.as_bytes());
+        self.link.replace_queued(place.clone(), left.as_bytes());
         place.end = place.start + left.len();
     }
 
     /// What is begun is not written anew, and bound by its attempt's time alone.
     pub(super) fn forget_begin(&mut self) {
-        if self.link.has_begun() {
+        if self.link.has_begun_writing() {
             (self.told, self.by) = (None, None);
         }
     }
@@ -137,10 +137,11 @@
     }
 
     /// How much of an answer has come.
-    pub(super) fn answer(&mut self) -> Result<Came, Ending> {
+    pub(super) fn answer(&mut self) -> Result<Came, AttemptResult> {
         loop {
             if self.head.is_none() {
-                self.head = http::parse_response_head(&self.link.input).map_err(|_| Ending::Garbled)?;
+                self.head =
+                    http::parse_response_head(&self.link.input).map_err(|_| AttemptResult::Garbled)?;
             }
             let Some(head) = &mut self.head else { return Ok(Came::Part { unknown: false }) };
             if head.status >= 200 {
@@ -150,10 +151,10 @@
             let length = head.length;
             self.words += 1;
             if self.words > WORDS_MOST || head.status == 101 {
-                return Err(Ending::Garbled);
+                return Err(AttemptResult::Garbled);
             }
             self.head = None;
-            self.link.used(length);
+            self.link.take_input(length);
         }
         let attempt = matches!(self.job, Some(Job { purpose: Purpose::Attempt(..), .. }));
         let Some(head) = &mut self.head else { return Ok(Came::Part { unknown: false }) };
@@ -166,21 +167,28 @@
             Ok(Some(_)) => Ok(Came::Whole),
             Ok(None) => Ok(Came::Part { unknown: passes && !head.body.has_length() }),
             Err(HttpError::BodyTooLarge) if passes && head.body.size() <= MAX_BODY_BYTES => Ok(Came::Long),
-            Err(_) => Err(Ending::Garbled),
+            Err(_) => Err(AttemptResult::Garbled),
         }
     }
 
     /// Tells how what the connection carried has ended.
     pub(super) fn finish(
         &mut self,
-        ending: Ending,
+        ending: AttemptResult,
         load: Load,
         answer: Option<(ResponseHead, Vec<u8>)>,
         io: &mut Shared,
     ) {
         let Some(Job { purpose, sent, deadline, .. }) = self.job.take() else { return };
-        io.deadlines.call_off(Some(deadline));
-        let done = Done { backend: self.backend, purpose, ending, took: io.now.since(sent), load, answer };
-        io.notes.push_back(Note::Done(done));
+        io.deadlines.cancel(Some(deadline));
+        let done = JobResult {
+            backend: self.backend,
+            purpose,
+            result: ending,
+            took: io.now.since(sent),
+            load,
+            response: answer,
+        };
+        io.events.push_back(ProxyEvent::JobEnded(done));
     }
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -27,7 +27,10 @@
 use crate::peers::Peers;
 use crate::pool::Pool;
 use crate::said::{self, Call, State, Word};
-use crate::shared::{CallSlot, ClientSlot, ConnSlot, Due, HeldSlot, Incoming, Note, OfHeld, Owner, Shared};
+use crate::shared::{
+    AdminSlot, ClientSlot, ConnSlot, IncomingRequest, Owner, ProxyEvent, RequestSlot, RequestTag, Shared,
+    TimerEvent,
+};
 use crate::signals::SignalQueue;
 use crate::slots::Slots;
 use crate::start_times::StartTimes;
@@ -57,7 +60,7 @@
 struct Held {
     /// `None` once it has its answer.
     client: Option<ClientSlot>,
-    incoming: Incoming,
+    incoming: IncomingRequest,
     /// By number, the connections that carry attempts; `None` for one that has ended.
     attempts: Vec<Option<ConnSlot>>,
     /// `None` while its time has not begun.
@@ -94,7 +97,7 @@
     balancer: Balancer,
     actions: Vec<Action>,
     clients: Clients,
-    held: Slots<OfHeld, Held>,
+    held: Slots<RequestTag, Held>,
     /// Bytes of all requests that are held.
     held_bytes: usize,
     pool: Pool,
@@ -174,19 +177,19 @@
 
         let clock = Clock::start();
         let (now, deadlines, counters) = (clock.now(), Deadlines::default(), Counters::default());
-        let (callers, backend_connections, notes) = Default::default();
-        let (streams, stream_bytes) = (0, config.budgets.bytes / 2);
+        let (client_connections, backend_connections, events) = Default::default();
+        let (streaming_requests, streaming_bytes) = (0, config.budgets.bytes / 2);
         let mut io = Shared {
             registry,
             now,
-            since: now,
+            earliest_arrival: now,
             deadlines,
             counters,
-            callers,
+            client_connections,
             backend_connections,
-            notes,
-            streams,
-            stream_bytes,
+            events,
+            streaming_requests,
+            streaming_bytes,
         };
         let management = Management::new(config.management, &io)?;
         let handover = Handover::new(path, wanted, before, &mut io);
@@ -224,7 +227,7 @@
         let check_path =
             if setup.columns.held.or(setup.columns.waiting).is_some() { "/status/load" } else { "/health" };
         if let Some(known) = known {
-            io.notes.push_back(Note::Listed(known, None));
+            io.events.push_back(ProxyEvent::ListReceived(known, None));
         }
         let mut actions = Vec::new();
         let balancer = Balancer::new(setup.settings, config.seed, now, &mut actions);
@@ -290,7 +293,7 @@
                 self.pump();
             }
             let before = self.clock.now();
-            let wait = self.io.deadlines.wait(before);
+            let wait = self.io.deadlines.time_to_next(before);
             match self.poll.poll(&mut events, wait) {
                 Err(e) => self.wait_failed(e, before)?,
                 Ok(()) => self.failed_waits = 0,
@@ -301,14 +304,14 @@
             let waited = self.io.now.since(before);
             let meant = wait.map_or(waited, |wait| Span::from_ms(wait.as_secs_f64() * 1000.0));
             let long = waited > meant + OVERSLEPT;
-            self.io.since = match waited > Span::from_ms(0.05) {
+            self.io.earliest_arrival = match waited > Span::from_ms(0.05) {
                 true if long => before + meant,
                 true => self.io.now,
                 false => self.polled,
             };
             // What no wait could tell of may have come since the first one that failed.
             if let Some(blind) = self.blind_since.filter(|_| self.failed_waits == 0) {
-                self.io.since = self.io.since.min(blind);
+                self.io.earliest_arrival = self.io.earliest_arrival.min(blind);
                 self.blind_since = None;
             }
             self.polled = self.io.now;
@@ -319,8 +322,8 @@
                 self.event(owner);
                 self.pump();
             }
-            let set = self.io.deadlines.count();
-            while let Some(due) = self.io.deadlines.due(self.io.now, set) {
+            let set = self.io.deadlines.last_sequence();
+            while let Some(due) = self.io.deadlines.pop_due(self.io.now, set) {
                 self.due(due);
                 self.pump();
             }
@@ -335,7 +338,7 @@
     fn in_order(&mut self, events: &Events) -> Vec<Owner> {
         let [mut first, mut gone, mut rest] = [Vec::new(), Vec::new(), Vec::new()];
         for event in events {
-            match Owner::of(event.token()) {
+            match Owner::from_token(event.token()) {
                 owner @ (Owner::Management | Owner::Call(_)) => first.push(owner),
                 owner @ Owner::Client(slot) if event.is_read_closed() => {
                     self.clients.hung_up(slot);
@@ -356,7 +359,7 @@
             Owner::Signals => self.signalled(),
             Owner::Discovery(turn) => self.discovery.event(turn, &mut self.io),
             Owner::Client(slot) => self.clients.event(slot, &mut self.io),
-            Owner::Conn(slot) => self.pool.go_on(slot, &mut self.io),
+            Owner::Conn(slot) => self.pool.handle_ready(slot, &mut self.io),
             Owner::Management => self.management.accept(&mut self.io),
             Owner::Call(slot) => self.management.event(slot, &mut self.io),
             Owner::Handover => self.hand_over(),
@@ -366,27 +369,27 @@
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: TimerEvent) {
         self.io.now = self.clock.now();
         match due {
-            Due::Timer(mark) => self.decide(Event::Timer(mark)),
-            Due::Deadline(request) => self.deadline_passed(request),
-            Due::Client(slot) => self.clients.due(slot, &mut self.io),
-            Due::Again(owner) => self.event(owner),
-            Due::Dial(slot) => self.pool.dial_late(slot, &mut self.io),
-            Due::Begin(slot) => self.pool.begin_due(slot, &mut self.io),
-            Due::Attempt(slot) => self.pool.late(slot, &mut self.io),
-            Due::Idle(slot) => self.pool.idle_over(slot, &mut self.io),
-            Due::List => self.discovery.due(&mut self.io),
-            Due::Leave => self.leave(),
-            Due::Reload => self.reload(),
-            Due::Call(slot) => self.management.close(slot, &mut self.io),
-            Due::Fleet => {
+            TimerEvent::Balancer(mark) => self.decide(Event::Timer(mark)),
+            TimerEvent::RequestDeadline(request) => self.deadline_passed(request),
+            TimerEvent::ClientTimeout(slot) => self.clients.due(slot, &mut self.io),
+            TimerEvent::Recheck(owner) => self.event(owner),
+            TimerEvent::ConnectTimeout(slot) => self.pool.connect_timed_out(slot, &mut self.io),
+            TimerEvent::StartStreaming(slot) => self.pool.start_streaming_due(slot, &mut self.io),
+            TimerEvent::AttemptTimeout(slot) => self.pool.attempt_timed_out(slot, &mut self.io),
+            TimerEvent::IdleTimeout(slot) => self.pool.idle_timed_out(slot, &mut self.io),
+            TimerEvent::Discovery => self.discovery.due(&mut self.io),
+            TimerEvent::Shutdown => self.leave(),
+            TimerEvent::Reload => self.reload(),
+            TimerEvent::AdminTimeout(slot) => self.management.close(slot, &mut self.io),
+            TimerEvent::Fleet => {
                 let told = self.fleet.due(&mut self.io);
                 self.told(told);
             }
-            Due::JoinFleet => self.share_fleet(),
-            Due::Duties => self.fleet.duties_due(&mut self.io),
+            TimerEvent::JoinFleet => self.share_fleet(),
+            TimerEvent::Duties => self.fleet.duties_due(&mut self.io),
         }
     }
 
@@ -398,7 +401,7 @@
             self.decide(Event::PeerSaid { from, bytes });
         }
         if more {
-            self.io.deadlines.set(self.io.now, Due::Again(Owner::Peers));
+            self.io.deadlines.set(self.io.now, TimerEvent::Recheck(Owner::Peers));
         }
     }
 
@@ -430,7 +433,7 @@
                 Ok(told) => self.told(told),
                 Err(error) => {
                     tracing::warn!(%error, "serving on without the fleet, joining again later");
-                    self.io.deadlines.set(self.io.now + JOIN_PAUSE, Due::JoinFleet);
+                    self.io.deadlines.set(self.io.now + JOIN_PAUSE, TimerEvent::JoinFleet);
                 }
             }
         }
@@ -438,29 +441,31 @@
 
     /// Hands on all notes that the parts have left.
     fn pump(&mut self) {
-        while let Some(note) = self.io.notes.pop_front() {
+        while let Some(note) = self.io.events.pop_front() {
             match note {
-                Note::Taken(client, incoming) => self.taken(client, incoming),
-                Note::Left(request) => self.left(request),
-                Note::Began(begun) => self.began(begun),
-                Note::Up(request) => self.up(request),
-                Note::Down(request) => self.down(request),
-                Note::Unsent(backend) => self.decide(Event::Unsent(backend)),
-                Note::Done(done) => self.ended(done),
-                Note::Listed(list, before) => self.listed(list, before),
-                Note::ListFailed => self.decide(Event::ListFailed),
-                Note::Called(slot, call) => self.called(slot, call),
-                Note::Beside => {
+                ProxyEvent::RequestReceived(client, incoming) => self.taken(client, incoming),
+                ProxyEvent::ClientGone(request) => self.left(request),
+                ProxyEvent::ResponseStarted(begun) => self.began(begun),
+                ProxyEvent::RequestBodyReady(request) => self.up(request),
+                ProxyEvent::ResponseBodyReady(request) => self.down(request),
+                ProxyEvent::SendFailed(backend) => self.decide(Event::Unsent(backend)),
+                ProxyEvent::JobEnded(done) => self.ended(done),
+                ProxyEvent::ListReceived(list, before) => self.listed(list, before),
+                ProxyEvent::ListFailed => self.decide(Event::ListFailed),
+                ProxyEvent::AdminRequestReceived(slot, call) => self.called(slot, call),
+                ProxyEvent::HandoverPeerChanged => {
                     self.share();
                     self.share_fleet();
                 }
-                Note::Said(Word::Bar { backend, barred }) => self.bar(said::backend(backend), barred),
-                Note::Said(Word::State(_)) => {}
+                ProxyEvent::HandoverMessage(Word::Bar { backend, barred }) => {
+                    self.bar(said::backend(backend), barred)
+                }
+                ProxyEvent::HandoverMessage(Word::State(_)) => {}
             }
         }
     }
 
-    fn called(&mut self, slot: CallSlot, call: Call) {
+    fn called(&mut self, slot: AdminSlot, call: Call) {
         let (status, text) = match call {
             Call::Ready if self.clients.ready && self.leaving.is_none() => (200, String::new()),
             Call::Ready => (503, String::new()),
@@ -479,7 +484,7 @@
             Call::Bar { host, barred } => {
                 let backend = backend_id(&host);
                 let out = self.balancer.barred().any(|out| out == backend);
-                if out || self.pool.lists(backend) {
+                if out || self.pool.is_listed(backend) {
                     self.bar(backend, barred);
                     (200, String::new())
                 } else {
@@ -493,7 +498,7 @@
     fn figures(&self) -> String {
         let counts = self.io.counters.report(self.clients.names());
         let corrected = self.start_times.corrected;
-        let (in_flight, known) = (self.clients.in_flight(), self.pool.listed());
+        let (in_flight, known) = (self.clients.in_flight(), self.pool.listed_count());
         let out = self.balancer.left_out();
         let (fleet, clients) = (self.fleet.figures(self.io.now), self.clients.report());
         format!("{counts}{fleet}{clients}svc.in_flight:{in_flight}|g\nsvc.backends_known:{known}|g\nsvc.backends_excluded:{out}|g\nsvc.start_times_corrected:{corrected}|c\n")
@@ -511,7 +516,7 @@
     }
 
     fn listed(&mut self, mut list: List, before: Option<u64>) {
-        let ready = self.pool.ready();
+        let ready = self.pool.ready_count();
         let odd = list.oddities(ready, before);
         if !odd.is_empty() {
             self.io.counters.suspicious_lists += 1;
@@ -520,12 +525,12 @@
         if list.empties(ready) {
             return;
         }
-        self.start_times.judge(&mut list, self.io.now);
+        self.start_times.correct(&mut list, self.io.now);
         let listings: Vec<Listing> = list.entries.iter().map(|entry| entry.listing).collect();
         if !listings.is_empty() {
             self.clients.set_ready(&mut self.io);
         }
-        self.pool.list(list.whole, &list.entries, &mut self.io);
+        self.pool.update_list(list.whole, &list.entries, &mut self.io);
         self.decide(Event::Listed { whole: list.whole, listings });
     }
 
@@ -551,7 +556,7 @@
                     self.answer(request, 502, None);
                 }
                 Action::Cancel { request, attempt } => {
-                    let held = self.held.get(HeldSlot::from_number(request.0));
+                    let held = self.held.get(RequestSlot::from_number(request.0));
                     let out = held.and_then(|held| *held.attempts.get(usize::from(attempt.0))?);
                     if let Some(slot) = out {
                         self.pool.cancel(slot, &mut self.io);
@@ -560,11 +565,11 @@
                 Action::TimeOut { request, time_out, .. } => {
                     let until = self.io.now + time_out;
                     if let Some(slot) = self.out(request) {
-                        self.pool.set_time(slot, until, &mut self.io);
+                        self.pool.set_attempt_timeout(slot, until, &mut self.io);
                     }
                 }
                 Action::Timer { after, mark } => {
-                    self.io.deadlines.set(self.io.now + after, Due::Timer(mark));
+                    self.io.deadlines.set(self.io.now + after, TimerEvent::Balancer(mark));
                 }
                 Action::Check { backend } => self.check(backend),
                 Action::Withdraw { backend } => self.pool.withdraw(backend, &mut self.io),
@@ -572,7 +577,7 @@
                 Action::Watch { on: true } => self.discovery.watch(&mut self.io),
                 Action::Watch { on: false } => self.discovery.stop(&mut self.io),
                 Action::FetchList => self.discovery.fetch(&mut self.io),
-                Action::Log(text) => match self.pool.host_in(&text) {
+                Action::Log(text) => match self.pool.host_named_in(&text) {
                     Some(host) => tracing::info!(host, "{text}"),
                     None => tracing::info!("{text}"),
                 },
--- a/crates/proxy/src/proxy/lifecycle.rs
+++ b/crates/proxy/src/proxy/lifecycle.rs
@@ -5,10 +5,10 @@
     INTERRUPTIONS_MOST, LASTED, LOOK_PAUSE, RELOAD_FOR, RELOAD_PAUSE, RELOAD_PAUSE_MOST,
 };
 use crate::config::{Config, ConfigError};
-use crate::failures::SystemCall;
+use crate::io_failures::SystemCall;
 use crate::listing::Handed;
 use crate::said::{self, State};
-use crate::shared::{Due, Note, Owner};
+use crate::shared::{Owner, ProxyEvent, TimerEvent};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use sparlug::time::{Span, Time};
 use std::io;
@@ -30,8 +30,8 @@
                 } else {
                     self.fleet.leave(&mut self.io);
                 }
-                self.io.deadlines.set(self.io.now + ACCEPT_ON, Due::Leave);
-                self.io.deadlines.set(self.io.now + ACCEPT_ON + self.longest + GONE_BY, Due::Leave);
+                self.io.deadlines.set(self.io.now + ACCEPT_ON, TimerEvent::Shutdown);
+                self.io.deadlines.set(self.io.now + ACCEPT_ON + self.longest + GONE_BY, TimerEvent::Shutdown);
             }
         }
     }
@@ -43,13 +43,13 @@
             Err(error) => return self.reload_failed(&error),
         };
         self.reload_since = None;
-        self.io.deadlines.call_off(self.reload.take());
+        self.io.deadlines.cancel(self.reload.take());
         let (discovery, restart) = (config.discovery, config.fixed != self.fixed);
         self.budgets = [config.budgets, config.halved];
         self.share();
         let moved = self.discovery.go_to(discovery, &mut self.io);
         if let (None, Some(list)) = (discovery, config.known) {
-            self.io.notes.push_back(Note::Listed(list, None));
+            self.io.events.push_back(ProxyEvent::ListReceived(list, None));
         }
         let discovery = discovery.map_or("a list in the file".to_string(), |agent| agent.to_string());
         tracing::info!(discovery, moved, "configuration read anew");
@@ -72,8 +72,8 @@
         if again {
             // Soon at first, then at longer intervals.
             let pause = passed.max(RELOAD_PAUSE).min(RELOAD_PAUSE_MOST);
-            self.io.deadlines.call_off(self.reload.take());
-            self.reload = Some(self.io.deadlines.set(self.io.now + pause, Due::Reload));
+            self.io.deadlines.cancel(self.reload.take());
+            self.reload = Some(self.io.deadlines.set(self.io.now + pause, TimerEvent::Reload));
         } else {
             self.reload_since = None;
         }
@@ -84,14 +84,14 @@
         let budgets = self.budgets[usize::from(self.handover.beside())];
         self.clients.set_budgets(budgets);
         self.pool.set_budgets(budgets);
-        self.io.stream_bytes = budgets.bytes / 2;
+        self.io.streaming_bytes = budgets.bytes / 2;
     }
 
     /// Hands over to a process that has come to take this one's place.
     pub(super) fn hand_over(&mut self) {
         let state = || {
             let (agent, version) = self.discovery.at_hand();
-            let list = version.map(|version| Handed { version, hosts: self.pool.list_at_hand() });
+            let list = version.map(|version| Handed { version, hosts: self.pool.current_list() });
             State { agent, barred: self.balancer.barred().map(said::named).collect(), list }
         };
         self.handover.accept(self.clients.listener(), state, &mut self.io);
@@ -100,7 +100,7 @@
     pub(super) fn leave(&mut self) {
         self.clients.stop_listening(self.handover.succeeded(), &mut self.io);
         if self.clients.listens() {
-            self.io.deadlines.set(self.io.now + DRAIN_PAUSE, Due::Leave);
+            self.io.deadlines.set(self.io.now + DRAIN_PAUSE, TimerEvent::Shutdown);
         }
         self.clients.let_go(&mut self.io);
     }
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -10,61 +10,65 @@
 use sparlug::id::{AttemptNo, BackendId, RequestId, TenantId, TimerMark};
 use sparlug::time::{Span, Time};
 
+use crate::attempt_result::AttemptResult;
+use crate::buffered_stream::BufferedStream;
 use crate::counters::Counters;
 use crate::deadlines::Deadlines;
-use crate::ending::Ending;
-use crate::failures::SystemCall;
 use crate::http::{RequestHead, ResponseHead};
-use crate::link::Link;
+use crate::io_failures::SystemCall;
 use crate::listing::List;
 use crate::said::{Call, Word};
 use crate::slots::Slot;
 
 /// Marks of the kinds of slots.
-pub enum OfClient {}
-pub enum OfConn {}
-pub enum OfHeld {}
-pub enum OfCall {}
-pub enum OfPeer {}
+pub enum ClientTag {}
+pub enum ConnTag {}
+pub enum RequestTag {}
+pub enum AdminTag {}
+pub enum HandoverTag {}
 
 /// A connection that a caller opened.
-pub type ClientSlot = Slot<OfClient>;
+pub type ClientSlot = Slot<ClientTag>;
 /// A connection to a backend.
-pub type ConnSlot = Slot<OfConn>;
+pub type ConnSlot = Slot<ConnTag>;
 /// A request until it is answered and all its attempts have ended.
-pub type HeldSlot = Slot<OfHeld>;
+pub type RequestSlot = Slot<RequestTag>;
 /// A connection that an operator opened.
-pub type CallSlot = Slot<OfCall>;
+pub type AdminSlot = Slot<AdminTag>;
 /// A process beside this one.
-pub type PeerSlot = Slot<OfPeer>;
+pub type HandoverSlot = Slot<HandoverTag>;
 
 pub struct Shared {
     pub registry: Registry,
     pub now: Time,
     /// What is read now may have come as early as this.
-    pub since: Time,
-    pub deadlines: Deadlines<Due>,
+    pub earliest_arrival: Time,
+    pub deadlines: Deadlines<TimerEvent>,
     pub counters: Counters,
     /// Connections from callers.
-    pub callers: usize,
+    pub client_connections: usize,
     /// Connections to backends.
     pub backend_connections: usize,
-    pub notes: VecDeque<Note>,
+    pub events: VecDeque<ProxyEvent>,
     /// Requests with bodies that are passed on as they come, and the bytes that those in each direction may hold.
-    pub streams: usize,
-    pub stream_bytes: usize,
+    pub streaming_requests: usize,
+    pub streaming_bytes: usize,
 }
 
 impl Shared {
     /// Has a link looked at again where a call failed and no event will tell when it may succeed.
     /// Whether it is.
-    pub fn settle<S: Read + Write + Source>(&mut self, link: &mut Link<S>, owner: Owner) -> bool {
-        let (at, watched) = link.settle(self.now, &self.registry, owner.token());
+    pub fn schedule_retry<S: Read + Write + Source>(
+        &mut self,
+        link: &mut BufferedStream<S>,
+        owner: Owner,
+    ) -> bool {
+        let (at, watched) = link.next_retry(self.now, &self.registry, owner.token());
         if let Err(e) = watched {
             self.counters.failures.count(SystemCall::Register, &e);
         }
         if let Some(at) = at {
-            self.deadlines.set(at, Due::Again(owner));
+            self.deadlines.set(at, TimerEvent::Recheck(owner));
         }
         at.is_some()
     }
@@ -76,31 +80,31 @@
 impl Shared {
     /// How much of one body may be on its way through: the same for all.
     pub fn window(&self) -> usize {
-        (self.stream_bytes / self.streams.max(1)).clamp(WINDOW_LEAST, WINDOW_MOST)
+        (self.streaming_bytes / self.streaming_requests.max(1)).clamp(WINDOW_LEAST, WINDOW_MOST)
     }
 }
 
 /// What a deadline is for.
 #[derive(Clone, Copy, Debug)]
-pub enum Due {
+pub enum TimerEvent {
     /// A timer of the decisions.
-    Timer(TimerMark),
+    Balancer(TimerMark),
     /// A request's deadline.
-    Deadline(RequestId),
+    RequestDeadline(RequestId),
     /// A client's message that has begun and does not come to its end, or its connection's last moments.
-    Client(ClientSlot),
+    ClientTimeout(ClientSlot),
     /// Something is to be looked at without an event: more may be there than was read, or a call failed.
-    Again(Owner),
+    Recheck(Owner),
     /// A connection that should be up.
-    Dial(ConnSlot),
+    ConnectTimeout(ConnSlot),
     /// The end of the time for what a connection carries.
-    Attempt(ConnSlot),
+    AttemptTimeout(ConnSlot),
     /// An answer whose length is unknown goes on from here, even if it is short.
-    Begin(ConnSlot),
+    StartStreaming(ConnSlot),
     /// The end of the time that a connection may stand idle.
-    Idle(ConnSlot),
+    IdleTimeout(ConnSlot),
     /// The answer of discovery, or the next call to it.
-    List,
+    Discovery,
     /// The fleet's members have something to do.
     Fleet,
     /// The fleet is to be joined, which failed.
@@ -108,25 +112,25 @@
     /// A duty is to be asked for, renewed or given away.
     Duties,
     /// The next step of going down.
-    Leave,
+    Shutdown,
     /// The configuration is to be read anew, which failed for a moment.
     Reload,
     /// The end of the time for an operator's call.
-    Call(CallSlot),
+    AdminTimeout(AdminSlot),
 }
 
 /// A request as it came, with the few things that were taken out.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     pub head: RequestHead,
     pub message: Vec<u8>,
     pub class: u16,
     pub tenant: TenantId,
     /// How long the client waits from its last byte on, and until when if that has come.
-    pub waits: Span,
+    pub timeout: Span,
     pub deadline: Time,
     /// Its last byte has come; if not, the rest is to be had from the client.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// What a connection to a backend is used for.
@@ -138,19 +142,19 @@
 
 /// What became of an attempt or a check.
 #[derive(Debug)]
-pub struct Done {
+pub struct JobResult {
     pub backend: BackendId,
     pub purpose: Purpose,
-    pub ending: Ending,
+    pub result: AttemptResult,
     pub took: Span,
     pub load: Load,
     /// The whole answer, if one came.
-    pub answer: Option<(ResponseHead, Vec<u8>)>,
+    pub response: Option<(ResponseHead, Vec<u8>)>,
 }
 
 /// An answer that is passed on as it comes, at its beginning.
 #[derive(Debug)]
-pub struct Begun {
+pub struct StartedResponse {
     pub backend: BackendId,
     pub request: RequestId,
     pub attempt: AttemptNo,
@@ -161,27 +165,27 @@
 }
 
 #[derive(Debug)]
-pub enum Note {
-    Taken(ClientSlot, Incoming),
+pub enum ProxyEvent {
+    RequestReceived(ClientSlot, IncomingRequest),
     /// The client is gone; what it waited for.
-    Left(RequestId),
-    Done(Done),
-    Began(Begun),
+    ClientGone(RequestId),
+    JobEnded(JobResult),
+    ResponseStarted(StartedResponse),
     /// More of a request's body has come, or can be sent on.
-    Up(RequestId),
+    RequestBodyReady(RequestId),
     /// And of an answer's.
-    Down(RequestId),
+    ResponseBodyReady(RequestId),
     /// A call of this machine failed that was to send something to a backend.
-    Unsent(BackendId),
+    SendFailed(BackendId),
     /// A list, and the version that it follows.
-    Listed(List, Option<u64>),
+    ListReceived(List, Option<u64>),
     ListFailed,
     /// An operator asks for something.
-    Called(CallSlot, Call),
+    AdminRequestReceived(AdminSlot, Call),
     /// A process that takes this one's place, or whose place this one takes, has come or gone.
-    Beside,
+    HandoverPeerChanged,
     /// And what it says.
-    Said(Word),
+    HandoverMessage(Word),
 }
 
 /// Whose event it is.
@@ -193,9 +197,9 @@
     Client(ClientSlot),
     Conn(ConnSlot),
     Management,
-    Call(CallSlot),
+    Call(AdminSlot),
     Handover,
-    Peer(PeerSlot),
+    Peer(HandoverSlot),
     Peers,
     Fleet,
 }
@@ -210,15 +214,15 @@
             Owner::Peers => (0, 4),
             Owner::Fleet => (0, 5),
             Owner::Discovery(turn) => (1, u64::from(turn)),
-            Owner::Client(slot) => (2, slot.number()),
-            Owner::Conn(slot) => (3, slot.number()),
-            Owner::Call(slot) => (4, slot.number()),
-            Owner::Peer(slot) => (5, slot.number()),
+            Owner::Client(slot) => (2, slot.to_number()),
+            Owner::Conn(slot) => (3, slot.to_number()),
+            Owner::Call(slot) => (4, slot.to_number()),
+            Owner::Peer(slot) => (5, slot.to_number()),
         };
         Token((number as usize) << 3 | kind)
     }
 
-    pub fn of(token: Token) -> Owner {
+    pub fn from_token(token: Token) -> Owner {
         let number = token.0 as u64 >> 3;
         match (token.0 & 7, number) {
             (0, 0) => Owner::Listener,
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/slots.rs
@@ -20,7 +20,7 @@
 
 impl<K> Slot<K> {
     /// Both halves in one number; no two records have the same one within half a billion turns.
-    pub fn number(self) -> u64 {
+    pub fn to_number(self) -> u64 {
         u64::from(self.turn) << PLACE_BITS | u64::from(self.place)
     }
 
@@ -39,7 +39,7 @@
 
 impl<K> PartialEq for Slot<K> {
     fn eq(&self, other: &Slot<K>) -> bool {
-        self.number() == other.number()
+        self.to_number() == other.to_number()
     }
 }
 
@@ -53,7 +53,7 @@
 
 impl<K> Ord for Slot<K> {
     fn cmp(&self, other: &Slot<K>) -> Ordering {
-        self.number().cmp(&other.number())
+        self.to_number().cmp(&other.to_number())
     }
 }
 
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -33,7 +33,7 @@
 
 impl StartTimes {
     /// Puts the start of each process on the proxy's own clock, in the place of its stamp.
-    pub fn judge(&mut self, list: &mut List, now: Time) {
+    pub fn correct(&mut self, list: &mut List, now: Time) {
         for entry in &mut list.entries {
             let stamp = entry.stamp;
             let started = match self.known.get(&entry.listing.backend) {
--- a/crates/proxy/src/starting.rs
+++ b/crates/proxy/src/starting.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use crate::failures::Cause;
+use crate::io_failures::Cause;
 
 const PATIENCE: Duration = Duration::from_secs(3);
 const PAUSE: Duration = Duration::from_millis(10);
@@ -19,7 +19,7 @@
 
 /// Whether a call is to be made again. One that waited for as long as it may is not.
 fn may_pass(error: &io::Error) -> bool {
-    error.kind() != io::ErrorKind::WouldBlock && Cause::of(error).is_momentary()
+    error.kind() != io::ErrorKind::WouldBlock && Cause::of(error).is_retryable()
 }
 
 /// Makes a call until it succeeds, fails in a way that lasts, or the time for it is over.
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -8,28 +8,28 @@
 use sparlug::id::ZoneId;
 use sparlug::settings::Settings;
 use sparlug::time::{Span, Time};
+use sparlug_proxy::attempt_result::AttemptResult;
+use sparlug_proxy::buffered_stream::BufferedStream;
 use sparlug_proxy::config::Config;
+use sparlug_proxy::connect_timeout::{ConnectHistory, ConnectTimeout};
 use sparlug_proxy::deadlines::Deadlines;
-use sparlug_proxy::ending::Ending;
-use sparlug_proxy::link::Link;
 use sparlug_proxy::listing;
-use sparlug_proxy::patience::{Known, Patience};
-use sparlug_proxy::shared::{OfClient, Owner};
+use sparlug_proxy::shared::{ClientTag, Owner};
 use sparlug_proxy::slots::Slots;
 
 #[test]
 fn a_stale_event_finds_nothing_in_a_slot_that_is_used_again() {
-    let mut slots: Slots<OfClient, &str> = Slots::default();
+    let mut slots: Slots<ClientTag, &str> = Slots::default();
     let first = slots.insert_with(|_| Some("first")).unwrap();
     let token = Owner::Client(first).token();
     slots.remove(first);
     let second = slots.insert_with(|_| Some("second")).unwrap();
-    let Owner::Client(stale) = Owner::of(token) else { panic!("another owner") };
+    let Owner::Client(stale) = Owner::from_token(token) else { panic!("another owner") };
     assert!(slots.get(stale).is_none() && slots.remove(stale).is_none());
     assert_eq!(slots.get(second), Some(&"second"));
     // Guards against the wall that there was at 4,096 records.
     let many: Vec<_> = (0..20_000).map(|_| slots.insert_with(|_| Some("more")).unwrap()).collect();
-    assert!(many.iter().all(|slot| Owner::of(Owner::Client(*slot).token()) == Owner::Client(*slot)));
+    assert!(many.iter().all(|slot| Owner::from_token(Owner::Client(*slot).token()) == Owner::Client(*slot)));
     assert_eq!((slots.count(), slots.get(second)), (20_001, Some(&"second")));
 }
 
@@ -40,79 +40,84 @@
     deadlines.set(at(2), "late");
     let off = deadlines.set(at(1), "called off");
     deadlines.set(at(1), "early");
-    deadlines.call_off(Some(off));
-    assert_eq!(deadlines.wait(Time::ORIGIN).unwrap().as_millis(), 1);
-    let set = deadlines.count();
-    assert_eq!(deadlines.due(at(2), set), Some("early"));
+    deadlines.cancel(Some(off));
+    assert_eq!(deadlines.time_to_next(Time::ORIGIN).unwrap().as_millis(), 1);
+    let set = deadlines.last_sequence();
+    assert_eq!(deadlines.pop_due(at(2), set), Some("early"));
     // Guards against a deadline that sets itself again at once and never lets the sockets have their turn.
     deadlines.set(at(0), "again");
-    assert_eq!(deadlines.due(at(2), set), None);
-    assert_eq!(deadlines.due(at(2), set + 1), Some("again"));
-    assert_eq!(deadlines.due(at(1), set + 1), None);
+    assert_eq!(deadlines.pop_due(at(2), set), None);
+    assert_eq!(deadlines.pop_due(at(2), set + 1), Some("again"));
+    assert_eq!(deadlines.pop_due(at(1), set + 1), None);
 }
 
 /// Guards against the whole time for a connection being spent at each of many backends that are lost together.
 #[test]
 fn a_connection_is_waited_for_as_long_as_others_took_to_come_up() {
-    let (ms, mut patience) = (|ms| Span::from_millis(ms), Patience::new(Span::from_millis(100)));
-    let (mut near, mut far) = (Known::default(), Known::default());
-    assert_eq!(patience.span(&near), ms(100), "nothing is known yet");
-    (0..50).for_each(|_| patience.came_up(&mut near, ms(1)));
-    assert_eq!(patience.span(&far), ms(10), "a tenth at the least");
+    let (ms, mut connect_timeout) = (|ms| Span::from_millis(ms), ConnectTimeout::new(Span::from_millis(100)));
+    let (mut near, mut far) = (ConnectHistory::default(), ConnectHistory::default());
+    assert_eq!(connect_timeout.after(&near), ms(100), "nothing is known yet");
+    (0..50).for_each(|_| connect_timeout.record_success(&mut near, ms(1)));
+    assert_eq!(connect_timeout.after(&far), ms(10), "a tenth at the least");
     // One that is forty times as far is reached all the same, and then has the time that it needs.
-    while patience.span(&far) < ms(40) {
-        patience.missed(&mut far);
+    while connect_timeout.after(&far) < ms(40) {
+        connect_timeout.record_timeout(&mut far);
     }
-    patience.came_up(&mut far, ms(40));
-    (0..50).for_each(|_| patience.came_up(&mut near, ms(1)));
-    assert!(patience.span(&far) > ms(80) && patience.span(&near) < ms(20));
-    (0..99).for_each(|_| patience.missed(&mut far));
-    assert_eq!(patience.span(&far), ms(100), "never longer than the settings say");
+    connect_timeout.record_success(&mut far, ms(40));
+    (0..50).for_each(|_| connect_timeout.record_success(&mut near, ms(1)));
+    assert!(connect_timeout.after(&far) > ms(80) && connect_timeout.after(&near) < ms(20));
+    (0..99).for_each(|_| connect_timeout.record_timeout(&mut far));
+    assert_eq!(connect_timeout.after(&far), ms(100), "never longer than the settings say");
 }
 
 #[test]
 fn only_endings_that_prove_it_say_that_a_attempt_never_ran() {
-    let answered = |status, not_started| Ending::Answered { status, not_started };
+    let answered = |status, not_started| AttemptResult::Answered { status, not_started };
     let never = [
-        Ending::Refused,
-        Ending::NeverUp,
-        Ending::BrokeBefore,
-        Ending::OutOfTime { written: false },
-        Ending::CalledOff { written: false },
-        Ending::Withdrawn,
-        Ending::KeptBroke { written: false },
-        Ending::NoRoom,
-        Ending::TooLate,
+        AttemptResult::Refused,
+        AttemptResult::NeverUp,
+        AttemptResult::BrokeBefore,
+        AttemptResult::OutOfTime { written: false },
+        AttemptResult::CalledOff { written: false },
+        AttemptResult::Withdrawn,
+        AttemptResult::KeptBroke { written: false },
+        AttemptResult::NoRoom,
+        AttemptResult::TooLate,
         answered(503, true),
         answered(504, true),
     ];
     let perhaps = [
-        Ending::BrokeAfter,
-        Ending::CutShort,
-        Ending::KeptBroke { written: true },
-        Ending::Garbled,
-        Ending::OutOfTime { written: true },
-        Ending::CalledOff { written: true },
+        AttemptResult::BrokeAfter,
+        AttemptResult::CutShort,
+        AttemptResult::KeptBroke { written: true },
+        AttemptResult::Garbled,
+        AttemptResult::OutOfTime { written: true },
+        AttemptResult::CalledOff { written: true },
         answered(503, false),
         answered(504, false),
         answered(500, true),
         answered(404, false),
     ];
     let usual = Settings::for_classes(Vec::new());
-    let ran = |ending: &Ending| ending.outcome().may_have_run(&usual);
+    let ran = |ending: &AttemptResult| ending.outcome().may_have_run(&usual);
     assert!(!never.iter().any(ran));
     assert!(perhaps.iter().all(ran));
     assert_eq!(answered(200, false).outcome(), Outcome::Served);
     // Guards against backends left out for what a client, the list or the proxy itself is the cause of.
-    let called_off = [true, false].map(|written| Ending::CalledOff { written });
-    let ours = [Ending::Withdrawn, Ending::NoRoom, Ending::OutOfTime { written: false }];
+    let called_off = [true, false].map(|written| AttemptResult::CalledOff { written });
+    let ours = [AttemptResult::Withdrawn, AttemptResult::NoRoom, AttemptResult::OutOfTime { written: false }];
     assert!(ours
         .iter()
         .chain(&called_off)
         .chain(&[answered(400, false)])
         .all(|ending| ending.outcome().judges_nobody()));
-    let theirs =
-        [Ending::Refused, Ending::NeverUp, Ending::Garbled, answered(500, false), answered(429, false)];
+    let theirs = [
+        AttemptResult::Refused,
+        AttemptResult::NeverUp,
+        AttemptResult::Garbled,
+        answered(500, false),
+        answered(429, false),
+    ];
     assert!(!theirs.iter().any(|ending| ending.outcome().judges_nobody()));
 }
 
@@ -138,9 +143,10 @@
 fn what_can_not_be_written_at_once_is_kept_and_goes_on_later() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let poll = mio::Poll::new().unwrap();
-    let mut link = Link::dial(listener.local_addr().unwrap(), poll.registry(), mio::Token(0)).unwrap();
+    let mut link =
+        BufferedStream::dial(listener.local_addr().unwrap(), poll.registry(), mio::Token(0)).unwrap();
     let (mut peer, _) = listener.accept().unwrap();
-    while !link.up().unwrap() {}
+    while !link.is_established().unwrap() {}
     let sent: Vec<u8> = (0..32_000_000_u32).map(|place| (place % 251) as u8).collect();
     link.queue(&sent);
     assert!(!link.flush().unwrap(), "more than the kernel takes");
@@ -149,7 +155,7 @@
         peer.read_to_end(&mut read).map(|_| read)
     });
     while !link.flush().unwrap() {}
-    link.end_sending();
+    link.shutdown_write();
     assert!(reader.join().unwrap().unwrap() == sent);
 }
 
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -30,7 +30,7 @@
     let dial = "127.0.0.1:1".parse().unwrap();
     let entry = Entry { host: host.to_string(), dial, stamp: Some(stamp), listing };
     let mut list = List { version: 1, whole: false, entries: vec![entry] };
-    starts.judge(&mut list, now);
+    starts.correct(&mut list, now);
     list.entries[0].listing.started.unwrap()
 }
 
@@ -85,10 +85,10 @@
         Entry { host, dial: "127.0.0.1:1".parse().unwrap(), stamp: None, listing }
     };
     let mut many = List { version: 1, whole: true, entries: (0..60_000).map(entry).collect() };
-    starts.judge(&mut many, at(0.0));
+    starts.correct(&mut many, at(0.0));
     let start = std::time::Instant::now();
     let mut one = List { version: 2, whole: true, entries: vec![entry(0)] };
-    starts.judge(&mut one, at(1.0));
+    starts.correct(&mut one, at(1.0));
     assert!(start.elapsed() < std::time::Duration::from_millis(500), "took {:?}", start.elapsed());
 }
 
