--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -9,7 +9,7 @@
 
 use crate::deadlines::DeadlineId;
 use crate::io_failures::{affects_one_connection, SystemCall};
-use crate::shared::{Owner, Shared, TimerEvent};
+use crate::shared::{IoContext, Owner, TimerEvent};
 
 const FULL_PAUSE: Span = Span::from_millis(20); // while there is no room for one more
 const FAILURE_PAUSE: Span = Span::from_millis(5); // after a failure for want of something
@@ -80,7 +80,7 @@
 
     /// Takes the next connection out of the queue. A failure says nothing of the calls that follow: those are made
     /// until one succeeds.
-    pub fn accept(&mut self, io: &mut Shared) -> Accepted<L::Stream> {
+    pub fn accept(&mut self, io: &mut IoContext) -> Accepted<L::Stream> {
         self.may_have_pending = true;
         for _ in 0..FAILURES_MOST {
             let Some(listener) = &self.listener else { return Accepted::Closed };
@@ -113,7 +113,7 @@
         }
     }
 
-    fn failed(&mut self, error: &io::Error, io: &mut Shared) {
+    fn failed(&mut self, error: &io::Error, io: &mut IoContext) {
         if self.failing.is_none() {
             self.failing = Some(io.now);
             tracing::warn!(%error, at = ?self.owner, "cannot accept");
@@ -122,13 +122,13 @@
     }
 
     /// There is no room for one more: the next look is a deadline's.
-    pub fn wait_for_capacity(&mut self, io: &mut Shared) {
+    pub fn wait_for_capacity(&mut self, io: &mut IoContext) {
         // What waits for room waits no longer for a call that failed.
         (self.may_have_pending, self.delayed_since) = (true, None);
         self.look_again(FULL_PAUSE, io);
     }
 
-    fn look_again(&mut self, pause: Span, io: &mut Shared) {
+    fn look_again(&mut self, pause: Span, io: &mut IoContext) {
         io.deadlines.cancel(self.retry.take());
         self.retry = Some(io.deadlines.set(io.now + pause, TimerEvent::Recheck(self.owner)));
     }
@@ -139,7 +139,7 @@
     }
 
     /// Listens no more.
-    pub fn close(&mut self, io: &mut Shared) {
+    pub fn close(&mut self, io: &mut IoContext) {
         if let Some(mut listener) = self.listener.take() {
             let _ = io.registry.deregister(&mut listener);
         }
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -18,7 +18,7 @@
     MAX_HEAD_BYTES,
 };
 use crate::io_failures::{is_descriptor_limit, SystemCall};
-use crate::shared::{ClientSlot, ClientTag, IncomingRequest, Owner, ProxyEvent, Shared, TimerEvent};
+use crate::shared::{ClientSlot, ClientTag, IncomingRequest, IoContext, Owner, ProxyEvent, TimerEvent};
 use crate::slots::Slots;
 
 mod answers;
@@ -135,7 +135,7 @@
     }
 
     /// It can serve from here on.
-    pub fn set_ready(&mut self, io: &mut Shared) {
+    pub fn set_ready(&mut self, io: &mut IoContext) {
         if !std::mem::replace(&mut self.ready, true) {
             io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Listener));
         }
@@ -145,7 +145,7 @@
         self.acceptor.listener()
     }
 
-    pub fn accept(&mut self, io: &mut Shared) {
+    pub fn accept(&mut self, io: &mut IoContext) {
         // Guards against taking what the process before would serve at once.
         if self.joined && !self.ready {
             return;
@@ -170,7 +170,7 @@
     }
 
     /// Brings the sums and orders over all callers up to how one of them stands now.
-    fn settle(&mut self, slot: ClientSlot, io: &mut Shared) {
+    fn settle(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         client.link.retry_nodelay();
         io.schedule_retry(&mut client.link, Owner::Client(slot));
@@ -193,7 +193,7 @@
         }
     }
 
-    fn add(&mut self, stream: TcpStream, io: &mut Shared) {
+    fn add(&mut self, stream: TcpStream, io: &mut IoContext) {
         let mut stream = Some(stream);
         let held_up = self.acceptor.delayed_since;
         // The slot is wanted for the token, so the record is made in two steps.
@@ -227,7 +227,7 @@
         }
     }
 
-    fn close(&mut self, slot: ClientSlot, reason: CloseReason, io: &mut Shared) {
+    fn close(&mut self, slot: ClientSlot, reason: CloseReason, io: &mut IoContext) {
         let Some(client) = self.clients.remove(slot) else { return };
         if client.is_owed() {
             io.counters.closed_unanswered.count(reason);
@@ -266,12 +266,12 @@
     }
 
     /// Something can be read or written, or the connection has ended.
-    pub fn event(&mut self, slot: ClientSlot, io: &mut Shared) {
+    pub fn event(&mut self, slot: ClientSlot, io: &mut IoContext) {
         self.go_on(slot, io);
         self.settle(slot, io);
     }
 
-    fn go_on(&mut self, slot: ClientSlot, io: &mut Shared) {
+    fn go_on(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         // Guards against one client's row of requests filling the memory while the first is being answered.
         let most = match (client.state, &client.upload) {
@@ -305,7 +305,7 @@
     }
 
     /// Takes the next request out of what was read, if it is whole.
-    fn read(&mut self, slot: ClientSlot, io: &mut Shared) {
+    fn read(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         if client.link.ended && client.link.input.is_empty() {
             return self.close(slot, CloseReason::ByClient, io);
@@ -397,7 +397,7 @@
         head: RequestHead,
         message: Vec<u8>,
         whole: bool,
-        io: &mut Shared,
+        io: &mut IoContext,
     ) {
         if head.path == "/ready" {
             let ready = self.ready && !self.leaving;
@@ -464,7 +464,7 @@
         &mut self,
         slot: ClientSlot,
         room: usize,
-        io: &mut Shared,
+        io: &mut IoContext,
     ) -> Result<(Vec<u8>, bool), HttpError> {
         let Some(client) = self.clients.get_mut(slot) else { return Ok((Vec::new(), false)) };
         if client.link.input.is_empty() && client.link.has_unread() {
@@ -488,7 +488,7 @@
         Ok((bytes, over))
     }
 
-    pub fn due(&mut self, slot: ClientSlot, io: &mut Shared) {
+    pub fn due(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         client.deadline = None;
         if client.state == State::Reading {
@@ -540,7 +540,7 @@
 
     /// Accepts what the kernel has accepted, and no more after that; not even that where the next process does. Goes on
     /// listening where not all could be accepted: a listener that closes resets the connections in its queue.
-    pub fn stop_listening(&mut self, succeeded: bool, io: &mut Shared) {
+    pub fn stop_listening(&mut self, succeeded: bool, io: &mut IoContext) {
         if !succeeded {
             self.accept(io);
         }
@@ -555,7 +555,7 @@
 
     /// Closes the connections on which nothing is owed. A request that is not whole yet is refused: what
     /// came to its end later could not be answered any more.
-    pub fn let_go(&mut self, io: &mut Shared) {
+    pub fn let_go(&mut self, io: &mut IoContext) {
         let slots: Vec<_> = self.clients.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
             // Guards against closing on a request that has come and was not read.
--- a/crates/proxy/src/clients/answers.rs
+++ b/crates/proxy/src/clients/answers.rs
@@ -4,7 +4,7 @@
 use crate::close_reason::CloseReason;
 use crate::http::{self};
 use crate::io_failures::SystemCall;
-use crate::shared::{ClientSlot, Owner, ProxyEvent, Shared, TimerEvent};
+use crate::shared::{ClientSlot, IoContext, Owner, ProxyEvent, TimerEvent};
 use sparlug::id::RequestId;
 
 impl Clients {
@@ -15,7 +15,7 @@
         request: RequestId,
         bytes: &[u8],
         close: bool,
-        io: &mut Shared,
+        io: &mut IoContext,
     ) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         io.deadlines.cancel(client.deadline.take());
@@ -25,13 +25,13 @@
     }
 
     /// How much more of an answer it may be given now.
-    pub fn room(&self, slot: ClientSlot, io: &Shared) -> usize {
+    pub fn room(&self, slot: ClientSlot, io: &IoContext) -> usize {
         let pending = self.clients.get(slot).map_or(usize::MAX, |client| client.link.unsent());
         io.window().saturating_sub(pending)
     }
 
     /// Goes on with an answer that has begun, up to its end if it is over.
-    pub fn go_on_with(&mut self, slot: ClientSlot, bytes: &[u8], over: bool, io: &mut Shared) {
+    pub fn go_on_with(&mut self, slot: ClientSlot, bytes: &[u8], over: bool, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         if let State::Streaming { done, .. } = &mut client.state {
             *done = over;
@@ -42,7 +42,7 @@
     }
 
     /// Ends a connection whose answer has begun and can't be finished, so that the client sees it is not whole.
-    pub fn cut(&mut self, slot: ClientSlot, io: &mut Shared) {
+    pub fn cut(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         io.counters.count_response(client.open.take(), 502);
         io.counters.closed_unanswered.count(CloseReason::AnswerBroke);
@@ -50,13 +50,13 @@
         self.close(slot, CloseReason::AnswerBroke, io);
     }
 
-    pub fn reply(&mut self, slot: ClientSlot, status: u16, close: bool, io: &mut Shared) {
+    pub fn reply(&mut self, slot: ClientSlot, status: u16, close: bool, io: &mut IoContext) {
         let close = close || self.leaving;
         self.answer(slot, status, &http::proxy_response(status, None, close), close, io);
     }
 
     /// Writes the answer to what the connection's client waits for.
-    pub fn answer(&mut self, slot: ClientSlot, status: u16, bytes: &[u8], close: bool, io: &mut Shared) {
+    pub fn answer(&mut self, slot: ClientSlot, status: u16, bytes: &[u8], close: bool, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         io.counters.count_response(client.open.take(), status);
         io.deadlines.cancel(client.deadline.take());
@@ -70,7 +70,7 @@
         self.settle(slot, io);
     }
 
-    pub(super) fn write(&mut self, slot: ClientSlot, io: &mut Shared) {
+    pub(super) fn write(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         let before = client.link.unsent();
         let all = match client.link.flush() {
@@ -116,7 +116,7 @@
 
     /// Ends the sending and throws away what still comes until the client closes, for a bounded time. Guards against a
     /// reset that overtakes the last answer, where something unread is in the way or comes in this very moment.
-    pub(super) fn end(&mut self, slot: ClientSlot, io: &mut Shared) {
+    pub(super) fn end(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         client.link.shutdown_write();
         client.state = State::Lingering;
--- a/crates/proxy/src/clients/client.rs
+++ b/crates/proxy/src/clients/client.rs
@@ -5,7 +5,7 @@
 use crate::buffered_stream::BufferedStream;
 use crate::deadlines::DeadlineId;
 use crate::http::RequestHead;
-use crate::shared::{ClientSlot, Shared, TimerEvent};
+use crate::shared::{ClientSlot, IoContext, TimerEvent};
 use sparlug::id::RequestId;
 use sparlug::time::Time;
 
@@ -95,7 +95,7 @@
     }
 
     /// A body begins to come, which is passed on as it does if it is known where it ends.
-    pub(super) fn await_body(&mut self, slot: ClientSlot, body: Option<Body>, io: &mut Shared) {
+    pub(super) fn await_body(&mut self, slot: ClientSlot, body: Option<Body>, io: &mut IoContext) {
         self.upload = Some(Box::new(Upload { body, since: io.now, heard: io.now, bytes: 0 }));
         io.deadlines.cancel(self.deadline.take());
         self.deadline = Some(io.deadlines.set(io.now + BODY_CHECK, TimerEvent::ClientTimeout(slot)));
--- a/crates/proxy/src/clients/room.rs
+++ b/crates/proxy/src/clients/room.rs
@@ -8,12 +8,12 @@
 use super::{Clients, FRESH, LINGERING};
 use crate::close_reason::CloseReason;
 use crate::config::OWN_SOCKETS;
-use crate::shared::{ClientSlot, Shared};
+use crate::shared::{ClientSlot, IoContext};
 
 impl Clients {
     /// Guards against idle connections keeping all others out where the process has fewer descriptors than the
     /// configuration says. Whether it has is asked of the kernel: one failure proves nothing.
-    pub(super) fn bound_by_descriptors(&mut self, io: &Shared) {
+    pub(super) fn bound_by_descriptors(&mut self, io: &IoContext) {
         // The program itself may hold more than was set aside for it.
         let room = descriptor_room();
         if self.clients.count() + io.backend_connections >= room * 3 / 4 {
@@ -35,7 +35,7 @@
 
     /// Whether one more can be accepted. A connection that is owed nothing may have to leave for it: one that
     /// only lingers, then an idle one, then one whose request does not come to its end.
-    pub(super) fn make_room(&mut self, io: &mut Shared) -> bool {
+    pub(super) fn make_room(&mut self, io: &mut IoContext) -> bool {
         while self.clients.count() >= self.limit() {
             // Guards against closing on a request that is on its way: a new connection is there to bring one.
             let Some(slot) = self.leaver(io.now) else {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -10,7 +10,7 @@
 use crate::deadlines::DeadlineId;
 use crate::http::{self, ResponseHead};
 use crate::listing;
-use crate::shared::{Owner, ProxyEvent, Shared, TimerEvent};
+use crate::shared::{IoContext, Owner, ProxyEvent, TimerEvent};
 
 const WAIT: Span = Span::from_millis(1_000); // how long a call may wait for something newer, about
 const GRACE: Span = Span::from_millis(300); // for an agent's answer, beyond the time it may wait
@@ -85,14 +85,14 @@
     }
 
     /// Asks for what is newer than the list at hand, unless such a call is under way.
-    pub fn watch(&mut self, io: &mut Shared) {
+    pub fn watch(&mut self, io: &mut IoContext) {
         if !self.asked {
             self.ask(io);
         }
     }
 
     /// Asks for the whole list.
-    pub fn fetch(&mut self, io: &mut Shared) {
+    pub fn fetch(&mut self, io: &mut IoContext) {
         self.version = None;
         self.stop(io);
         self.ask(io);
@@ -100,7 +100,7 @@
 
     /// Moves the watch to another agent, if it is another one; whether it was. The new watch begins with the
     /// whole list: one agent's versions mean nothing to another. Until it has come, the old list goes on.
-    pub fn go_to(&mut self, address: Option<SocketAddr>, io: &mut Shared) -> bool {
+    pub fn go_to(&mut self, address: Option<SocketAddr>, io: &mut IoContext) -> bool {
         let moved = std::mem::replace(&mut self.address, address) != address;
         if moved {
             self.lost = None;
@@ -109,7 +109,7 @@
         moved
     }
 
-    pub fn stop(&mut self, io: &mut Shared) {
+    pub fn stop(&mut self, io: &mut IoContext) {
         io.deadlines.cancel(self.deadline.take());
         if let Some(link) = self.link.take() {
             link.close(&io.registry);
@@ -117,7 +117,7 @@
         (self.asked, self.head) = (false, None);
     }
 
-    fn ask(&mut self, io: &mut Shared) {
+    fn ask(&mut self, io: &mut IoContext) {
         let Some(address) = self.address else { return };
         (self.since, self.reused) = (io.now, self.link.is_some());
         if self.link.is_none() {
@@ -142,14 +142,14 @@
         self.go_on(io);
     }
 
-    pub fn event(&mut self, turn: u32, io: &mut Shared) {
+    pub fn event(&mut self, turn: u32, io: &mut IoContext) {
         if turn == self.turn && self.link.is_some() {
             self.go_on(io);
         }
     }
 
     /// The answer did not come in time, or it is time for the next call.
-    pub fn due(&mut self, io: &mut Shared) {
+    pub fn due(&mut self, io: &mut IoContext) {
         self.deadline = None;
         if self.asked {
             self.failed("no answer", io);
@@ -158,7 +158,7 @@
         }
     }
 
-    fn failed(&mut self, why: &str, io: &mut Shared) {
+    fn failed(&mut self, why: &str, io: &mut IoContext) {
         io.counters.lists_failed += 1;
         self.stop(io);
         let (lost, since) = self.lost.map_or((1, io.now), |(lost, since)| (lost + 1, since));
@@ -175,14 +175,14 @@
         self.deadline = Some(io.deadlines.set(self.since + PACE, TimerEvent::Discovery));
     }
 
-    fn go_on(&mut self, io: &mut Shared) {
+    fn go_on(&mut self, io: &mut IoContext) {
         self.advance(io);
         if let Some(link) = &mut self.link {
             io.schedule_retry(link, Owner::Discovery(self.turn));
         }
     }
 
-    fn advance(&mut self, io: &mut Shared) {
+    fn advance(&mut self, io: &mut IoContext) {
         let Some(link) = &mut self.link else { return };
         match link.is_established() {
             Ok(true) => {}
@@ -229,7 +229,7 @@
         Ok(whole.map(|_| ()))
     }
 
-    fn listed(&mut self, io: &mut Shared) {
+    fn listed(&mut self, io: &mut IoContext) {
         let (Some(head), Some(link)) = (self.head.take(), &mut self.link) else { return };
         let message = link.take_input(head.length + head.body.parsed_len());
         // Guards against an agent that talks without being asked, answer upon answer.
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -15,7 +15,7 @@
 use sparlug_fleet::wire::MOST;
 
 use crate::deadlines::DeadlineId;
-use crate::shared::{Owner, Shared, TimerEvent};
+use crate::shared::{IoContext, Owner, TimerEvent};
 
 /// How many datagrams are read before others have their turn; the loop comes back for the rest.
 const AT_ONCE: usize = 64;
@@ -81,7 +81,7 @@
     }
 
     /// Listens and begins to look for others.
-    pub fn start(&mut self, io: &mut Shared) -> io::Result<Vec<Told>> {
+    pub fn start(&mut self, io: &mut IoContext) -> io::Result<Vec<Told>> {
         let Some((settings, address, shared)) = self.plan.clone() else { return Ok(Vec::new()) };
         let bind = || -> io::Result<UdpSocket> {
             let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
@@ -117,7 +117,7 @@
         Ok(told)
     }
 
-    fn duty(&mut self, event: duties::Event, io: &mut Shared) {
+    fn duty(&mut self, event: duties::Event, io: &mut IoContext) {
         let Some(on) = &mut self.on else { return };
         let Some(machine) = &mut on.duties else { return };
         let mut actions = Vec::new();
@@ -137,7 +137,7 @@
         }
     }
 
-    pub fn duties_due(&mut self, io: &mut Shared) {
+    pub fn duties_due(&mut self, io: &mut IoContext) {
         if let Some(on) = &mut self.on {
             on.duties_wake = None;
         }
@@ -145,7 +145,7 @@
     }
 
     /// Hands the view on to the duties.
-    fn see(&mut self, io: &mut Shared) {
+    fn see(&mut self, io: &mut IoContext) {
         let Some(on) = self.on.as_ref().filter(|on| on.duties.is_some()) else { return };
         let view = on.members.view(io.now);
         let there = view.members.into_iter().filter(|seen| seen.state.is_there());
@@ -154,7 +154,7 @@
     }
 
     /// Whether another process with this one's name and address may be there, and vote.
-    pub fn beside(&mut self, beside: bool, io: &mut Shared) {
+    pub fn beside(&mut self, beside: bool, io: &mut IoContext) {
         let ended = self.beside && !beside;
         self.beside = beside;
         if beside || ended {
@@ -163,7 +163,7 @@
     }
 
     /// Staff pause a duty here, or allow it again. `false`: it is none that is configured.
-    pub fn pause(&mut self, duty: &str, paused: bool, io: &mut Shared) -> bool {
+    pub fn pause(&mut self, duty: &str, paused: bool, io: &mut IoContext) -> bool {
         let known = self.on.as_ref().and_then(|on| on.duties.as_ref()).is_some_and(|all| all.knows(duty));
         if known {
             self.duty(duties::Event::Pause { duty, paused }, io);
@@ -171,7 +171,7 @@
         known
     }
 
-    fn handle(&mut self, event: Event, io: &mut Shared) -> Vec<Told> {
+    fn handle(&mut self, event: Event, io: &mut IoContext) -> Vec<Told> {
         let Some(on) = &mut self.on else { return Vec::new() };
         let (mut actions, mut told, mut letters, mut changed) = (Vec::new(), Vec::new(), Vec::new(), false);
         on.members.handle(io.now, event, &mut actions);
@@ -208,7 +208,7 @@
         told
     }
 
-    pub fn due(&mut self, io: &mut Shared) -> Vec<Told> {
+    pub fn due(&mut self, io: &mut IoContext) -> Vec<Told> {
         if let Some(on) = &mut self.on {
             on.wake = None;
         }
@@ -216,7 +216,7 @@
     }
 
     /// What has come from others; a few at a time, so that a flood keeps nobody else waiting.
-    pub fn hear(&mut self, io: &mut Shared) -> Vec<Told> {
+    pub fn hear(&mut self, io: &mut IoContext) -> Vec<Told> {
         let mut told = Vec::new();
         let mut buffer = [0; MOST + 1]; // a longer message is none of ours
         for _ in 0..AT_ONCE {
@@ -238,18 +238,18 @@
     }
 
     /// Says something to one of the members that are there, chosen by a number.
-    pub fn tell(&mut self, nth: usize, bytes: Vec<u8>, io: &mut Shared) {
+    pub fn tell(&mut self, nth: usize, bytes: Vec<u8>, io: &mut IoContext) {
         self.handle(Event::Tell { nth, bytes }, io);
     }
 
     /// Tells others that it goes.
-    pub fn leave(&mut self, io: &mut Shared) {
+    pub fn leave(&mut self, io: &mut IoContext) {
         self.duty(duties::Event::Leave, io);
         self.handle(Event::Leave, io);
     }
 
     /// The process that took over is this member now: this one falls silent without a word.
-    pub fn yield_to_next(&mut self, io: &mut Shared) {
+    pub fn yield_to_next(&mut self, io: &mut IoContext) {
         self.duty(duties::Event::Leave, io);
         if let Some(mut on) = self.on.take() {
             io.deadlines.cancel(on.wake);
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -23,7 +23,7 @@
 use crate::buffered_stream::BufferedStream;
 use crate::io_failures::Cause;
 use crate::said::{line, next, State, Word, LINE_MOST};
-use crate::shared::{HandoverSlot, HandoverTag, Owner, ProxyEvent, Shared, TimerEvent};
+use crate::shared::{HandoverSlot, HandoverTag, IoContext, Owner, ProxyEvent, TimerEvent};
 use crate::slots::Slots;
 use crate::starting::again;
 
@@ -142,7 +142,7 @@
         path: PathBuf,
         wanted: bool,
         before: Option<(StdUnixStream, Vec<u8>)>,
-        io: &mut Shared,
+        io: &mut IoContext,
     ) -> Handover {
         let mut handover = Handover {
             path,
@@ -165,7 +165,7 @@
     }
 
     /// Waits for the next process, in the place of whoever waited there before.
-    fn wait(&mut self, io: &mut Shared) {
+    fn wait(&mut self, io: &mut IoContext) {
         let socket = fs::symlink_metadata(&self.path).is_ok_and(|found| found.file_type().is_socket());
         if socket {
             let _ = fs::remove_file(&self.path);
@@ -193,7 +193,7 @@
         self.peers.iter().any(|(_, peer)| peer.successor)
     }
 
-    fn add(&mut self, stream: UnixStream, successor: bool, io: &mut Shared) -> Option<HandoverSlot> {
+    fn add(&mut self, stream: UnixStream, successor: bool, io: &mut IoContext) -> Option<HandoverSlot> {
         let slot = self.peers.insert_with(|_| Some(Peer { link: BufferedStream::new(stream), successor }))?;
         if let Some(peer) = self.peers.get_mut(slot) {
             io.schedule_retry(&mut peer.link, Owner::Peer(slot));
@@ -202,7 +202,7 @@
     }
 
     /// Hands the state and the listening socket to those that have come.
-    pub fn accept(&mut self, listener: Option<impl AsFd>, state: impl Fn() -> State, io: &mut Shared) {
+    pub fn accept(&mut self, listener: Option<impl AsFd>, state: impl Fn() -> State, io: &mut IoContext) {
         if self.wanted && !self.succeeded() && self.acceptor.listener().is_none() {
             self.wait(io);
         }
@@ -235,7 +235,7 @@
         }
     }
 
-    fn say(&mut self, slot: HandoverSlot, word: &Word, io: &mut Shared) {
+    fn say(&mut self, slot: HandoverSlot, word: &Word, io: &mut IoContext) {
         if let Some(peer) = self.peers.get_mut(slot) {
             peer.link.queue(&line(word));
         }
@@ -243,12 +243,12 @@
     }
 
     /// Tells all others.
-    pub fn tell(&mut self, word: &Word, io: &mut Shared) {
+    pub fn tell(&mut self, word: &Word, io: &mut IoContext) {
         let all: Vec<_> = self.peers.iter().map(|(slot, _)| slot).collect();
         all.into_iter().for_each(|slot| self.say(slot, word, io));
     }
 
-    pub fn event(&mut self, slot: HandoverSlot, io: &mut Shared) {
+    pub fn event(&mut self, slot: HandoverSlot, io: &mut IoContext) {
         let Some(peer) = self.peers.get_mut(slot) else { return };
         let sent = peer.link.flush();
         let read = peer.link.fill(LINE_MOST + 1);
--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/management.rs
@@ -12,7 +12,7 @@
 use crate::deadlines::DeadlineId;
 use crate::http::{self, HttpError, ADMIN_METHODS};
 use crate::said::Call;
-use crate::shared::{AdminSlot, AdminTag, Owner, ProxyEvent, Shared, TimerEvent};
+use crate::shared::{AdminSlot, AdminTag, IoContext, Owner, ProxyEvent, TimerEvent};
 use crate::slots::Slots;
 use crate::starting::again;
 
@@ -39,7 +39,7 @@
 
 impl Management {
     /// Listens at an address, if there is one.
-    pub fn new(address: Option<SocketAddr>, io: &Shared) -> Result<Management, String> {
+    pub fn new(address: Option<SocketAddr>, io: &IoContext) -> Result<Management, String> {
         let listen =
             |address| Acceptor::register(TcpListener::bind(address)?, Owner::Management, &io.registry);
         let fault = |e: std::io::Error| format!("cannot listen for operators on {address:?}: {e}");
@@ -52,7 +52,7 @@
         self.acceptor.listener()?.local_addr().ok()
     }
 
-    pub fn accept(&mut self, io: &mut Shared) {
+    pub fn accept(&mut self, io: &mut IoContext) {
         while let Accepted::Connection(stream) = self.acceptor.accept(io) {
             while self.callers.count() >= CALLS_MOST {
                 // Guards against callers that never come to their call keeping others from theirs.
@@ -73,14 +73,14 @@
         }
     }
 
-    pub fn event(&mut self, slot: AdminSlot, io: &mut Shared) {
+    pub fn event(&mut self, slot: AdminSlot, io: &mut IoContext) {
         self.go_on(slot, io);
         if let Some(caller) = self.callers.get_mut(slot) {
             io.schedule_retry(&mut caller.link, Owner::Call(slot));
         }
     }
 
-    fn go_on(&mut self, slot: AdminSlot, io: &mut Shared) {
+    fn go_on(&mut self, slot: AdminSlot, io: &mut IoContext) {
         let Some(caller) = self.callers.get_mut(slot) else { return };
         let read = caller.link.fill(CALL_BYTES);
         if caller.called {
@@ -111,14 +111,14 @@
     }
 
     /// Writes the answer to a call, and with it the end of the connection.
-    pub fn answer(&mut self, slot: AdminSlot, status: u16, lines: &str, body: &str, io: &mut Shared) {
+    pub fn answer(&mut self, slot: AdminSlot, status: u16, lines: &str, body: &str, io: &mut IoContext) {
         let Some(caller) = self.callers.get_mut(slot) else { return };
         caller.called = true;
         caller.link.queue(&http::build_response(status, &format!("{lines}Connection: close\r\n"), body));
         self.event(slot, io);
     }
 
-    pub fn close(&mut self, slot: AdminSlot, io: &mut Shared) {
+    pub fn close(&mut self, slot: AdminSlot, io: &mut IoContext) {
         let Some(caller) = self.callers.remove(slot) else { return };
         io.deadlines.cancel(Some(caller.deadline));
         caller.link.close(&io.registry);
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -10,7 +10,7 @@
 use sparlug::id::PeerId;
 use sparlug::word::MOST;
 
-use crate::shared::{Owner, Shared};
+use crate::shared::{IoContext, Owner};
 use crate::starting::again;
 
 /// How many are read before others have their turn; the loop comes back for the rest.
@@ -25,7 +25,7 @@
 
 impl Peers {
     /// `shared` lets the process that takes over listen at the same address.
-    pub fn new(all: Vec<SocketAddr>, own: usize, shared: bool, io: &Shared) -> Result<Peers, String> {
+    pub fn new(all: Vec<SocketAddr>, own: usize, shared: bool, io: &IoContext) -> Result<Peers, String> {
         let Some(address) = all.get(own).copied() else { return Ok(Peers { all, own, socket: None }) };
         let bind = || -> io::Result<UdpSocket> {
             let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -17,7 +17,7 @@
 use crate::io_failures::{Cause, SystemCall};
 use crate::listing::{Entry, HandedHost};
 use crate::shared::{
-    ConnSlot, ConnTag, JobResult, Owner, ProxyEvent, Purpose, Shared, StartedResponse, TimerEvent,
+    ConnSlot, ConnTag, IoContext, JobResult, Owner, ProxyEvent, Purpose, StartedResponse, TimerEvent,
 };
 use crate::slots::Slots;
 
@@ -102,7 +102,7 @@
     }
 
     /// Calls off what is on its way to a backend and of which nothing is written, and closes what stands idle.
-    pub fn withdraw(&mut self, backend: BackendId, io: &mut Shared) {
+    pub fn withdraw(&mut self, backend: BackendId, io: &mut IoContext) {
         let unsent = |conn: &Conn| conn.backend == backend && !matches!(conn.stage, Stage::Busy { .. });
         let unsent = self.conns.iter().filter(|(_, conn)| unsent(conn)).map(|(slot, _)| slot);
         for slot in unsent.collect::<Vec<_>>() {
@@ -139,7 +139,7 @@
     }
 
     /// Takes in a change of the list.
-    pub fn update_list(&mut self, whole: bool, entries: &[Entry], io: &mut Shared) {
+    pub fn update_list(&mut self, whole: bool, entries: &[Entry], io: &mut IoContext) {
         if whole {
             self.places.values_mut().for_each(|place| place.listing.condition = Condition::Gone);
         }
@@ -173,7 +173,7 @@
         purpose: Purpose,
         message: OutgoingRequest,
         until: Time,
-        io: &mut Shared,
+        io: &mut IoContext,
     ) -> Option<ConnSlot> {
         let found =
             if message.repeatable || self.held_up >= TRUSTED { self.take_idle(backend, io) } else { None };
@@ -208,7 +208,7 @@
 
     /// An idle connection that is still good, the last used one first. Those that had rested were tried first, against a
     /// second answer that comes late, and served less (`docs/incidents/second-answers.md`).
-    fn take_idle(&mut self, backend: BackendId, io: &mut Shared) -> Option<ConnSlot> {
+    fn take_idle(&mut self, backend: BackendId, io: &mut IoContext) -> Option<ConnSlot> {
         loop {
             let slot = self.places.get_mut(&backend)?.idle.pop()?;
             let Some(conn) = self.conns.get_mut(slot) else { continue };
@@ -225,7 +225,7 @@
         }
     }
 
-    fn dial(&mut self, backend: BackendId, io: &mut Shared) -> Result<ConnSlot, AttemptResult> {
+    fn dial(&mut self, backend: BackendId, io: &mut IoContext) -> Result<ConnSlot, AttemptResult> {
         let Some(Place { life, .. }) = self.places.get(&backend) else {
             return Err(AttemptResult::Withdrawn);
         };
@@ -245,7 +245,7 @@
     }
 
     /// Makes the socket of a connection that is wanted.
-    fn connect(&mut self, slot: ConnSlot, io: &mut Shared) {
+    fn connect(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.retry_at <= io.now) else { return };
         if let Err(e) = conn.link.connect(conn.life.dial) {
             return self.dial_failed(slot, &e, io);
@@ -262,7 +262,7 @@
     }
 
     /// A connection could not be made. Where that may be the moment's fault it is tried again: nothing was sent.
-    fn dial_failed(&mut self, slot: ConnSlot, error: &std::io::Error, io: &mut Shared) {
+    fn dial_failed(&mut self, slot: ConnSlot, error: &std::io::Error, io: &mut IoContext) {
         io.counters.failures.count(SystemCall::Connect, error);
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let cause = Cause::of(error);
@@ -283,12 +283,12 @@
     }
 
     /// Does all that the connection is ready for.
-    pub fn handle_ready(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn handle_ready(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.advance(slot, io);
         self.settle(slot, io);
     }
 
-    fn settle(&mut self, slot: ConnSlot, io: &mut Shared) {
+    fn settle(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         conn.link.retry_nodelay();
         if io.schedule_retry(&mut conn.link, Owner::Conn(slot)) && conn.job.is_some() {
@@ -296,7 +296,7 @@
         }
     }
 
-    fn advance(&mut self, slot: ConnSlot, io: &mut Shared) {
+    fn advance(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         if matches!(conn.stage, Stage::Dialling) && !conn.link.is_connected() {
             self.connect(slot, io);
@@ -389,7 +389,7 @@
     }
 
     /// An answer came whole: the connection can be used again, or ends.
-    fn answered(&mut self, slot: ConnSlot, written: bool, io: &mut Shared) {
+    fn answered(&mut self, slot: ConnSlot, written: bool, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let Some(head) = conn.head.take() else { return };
         conn.words = 0;
@@ -403,7 +403,7 @@
     }
 
     /// After an answer a connection stands idle, or ends.
-    fn rest(&mut self, slot: ConnSlot, ending: AttemptResult, keep: bool, io: &mut Shared) {
+    fn rest(&mut self, slot: ConnSlot, ending: AttemptResult, keep: bool, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let room = self.standing.len() < self.budgets.idle;
         let keep = keep && room && !conn.link.ended && conn.link.input.is_empty();
@@ -423,7 +423,7 @@
     }
 
     /// The answer is passed on as it comes from here on; its time is up to here.
-    fn begin(&mut self, slot: ConnSlot, io: &mut Shared) {
+    fn begin(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let (Some(Job { purpose: Purpose::Attempt(request, attempt), sent, deadline, .. }), Some(head)) =
             (&mut conn.job, &conn.head)
@@ -449,7 +449,7 @@
     }
 
     /// The answer has not come to its end, and its length is unknown: it goes on as it comes.
-    pub fn start_streaming_due(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn start_streaming_due(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.handle_ready(slot, io);
         if self.conns.get_mut(slot).is_some_and(|conn| conn.awaits_end()) {
             self.begin(slot, io);
@@ -458,7 +458,7 @@
 
     /// The next bytes of an answer that is passed on as it comes, `room` at the most, and whether it ends with them.
     /// If it breaks off, that is told in a note.
-    pub fn read_body(&mut self, slot: ConnSlot, room: usize, io: &mut Shared) -> (Vec<u8>, bool) {
+    pub fn read_body(&mut self, slot: ConnSlot, room: usize, io: &mut IoContext) -> (Vec<u8>, bool) {
         let nothing = (Vec::new(), false);
         let window = io.window();
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.streams) else { return nothing };
@@ -491,13 +491,13 @@
     }
 
     /// How much more of a message can be pushed now.
-    pub fn write_capacity(&self, slot: ConnSlot, io: &Shared) -> usize {
+    pub fn write_capacity(&self, slot: ConnSlot, io: &IoContext) -> usize {
         let pending = self.conns.get(slot).map_or(usize::MAX, |conn| conn.link.unsent());
         io.window().saturating_sub(pending)
     }
 
     /// Goes on with a message that is not whole, up to its end if it is over.
-    pub fn write_body(&mut self, slot: ConnSlot, bytes: &[u8], over: bool, io: &mut Shared) {
+    pub fn write_body(&mut self, slot: ConnSlot, bytes: &[u8], over: bool, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         conn.link.queue(bytes);
         if !matches!(conn.stage, Stage::Dialling) {
@@ -510,7 +510,7 @@
     }
 
     /// What a connection carries has time until then.
-    pub fn set_attempt_timeout(&mut self, slot: ConnSlot, until: Time, io: &mut Shared) {
+    pub fn set_attempt_timeout(&mut self, slot: ConnSlot, until: Time, io: &mut IoContext) {
         if let Some(job) = self.conns.get_mut(slot).and_then(|conn| conn.job.as_mut()) {
             io.deadlines.cancel(Some(job.deadline));
             job.deadline = io.deadlines.set(until, TimerEvent::AttemptTimeout(slot));
@@ -518,7 +518,7 @@
     }
 
     /// Every end of a connection, and of what it carried, comes through here.
-    fn close(&mut self, slot: ConnSlot, ending: AttemptResult, io: &mut Shared) {
+    fn close(&mut self, slot: ConnSlot, ending: AttemptResult, io: &mut IoContext) {
         let Some(mut conn) = self.conns.remove(slot) else { return };
         io.backend_connections -= 1;
         if matches!(ending, AttemptResult::KeptBroke { .. }) {
@@ -543,24 +543,24 @@
         conn.link.close(&io.registry);
     }
 
-    pub fn cancel(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn cancel(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let written = self.conns.get(slot).is_some_and(Conn::is_written);
         self.close(slot, AttemptResult::CalledOff { written }, io);
     }
 
     /// Calls off what has not been written to its last byte, and so has not begun.
-    pub fn cancel_unwritten(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn cancel_unwritten(&mut self, slot: ConnSlot, io: &mut IoContext) {
         if self.conns.get(slot).is_some_and(|conn| !conn.is_written()) {
             self.cancel(slot, io);
         }
     }
 
-    pub fn close_idle(&mut self, backend: BackendId, io: &mut Shared) {
+    pub fn close_idle(&mut self, backend: BackendId, io: &mut IoContext) {
         let idle = self.places.get(&backend).map(|place| place.idle.clone()).unwrap_or_default();
         idle.into_iter().for_each(|slot| self.close(slot, AttemptResult::Idle, io));
     }
 
-    pub fn connect_timed_out(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn connect_timed_out(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let by = self.conns.get(slot).and_then(|conn| conn.by);
         let over = by.is_some_and(|by| io.now >= by);
         let ending = match self.conns.get(slot) {
@@ -572,12 +572,12 @@
         self.close(slot, if over { AttemptResult::TooLate } else { ending }, io);
     }
 
-    pub fn idle_timed_out(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn idle_timed_out(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.close(slot, AttemptResult::Idle, io);
     }
 
     /// The time for what the connection carries is over. What has come by now still counts.
-    pub fn attempt_timed_out(&mut self, slot: ConnSlot, io: &mut Shared) {
+    pub fn attempt_timed_out(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.handle_ready(slot, io);
         let Some(conn) = self.conns.get_mut(slot) else { return };
         // While a body is on its way only silence counts, and not where the other side is waited for.
--- a/crates/proxy/src/pool/conn.rs
+++ b/crates/proxy/src/pool/conn.rs
@@ -13,7 +13,7 @@
 use crate::deadlines::DeadlineId;
 use crate::http::{self, HttpError, ResponseHead, MAX_BUFFERED_BODY_BYTES};
 use crate::io_failures::Cause;
-use crate::shared::{ConnSlot, JobResult, ProxyEvent, Purpose, Shared, TimerEvent};
+use crate::shared::{ConnSlot, IoContext, JobResult, ProxyEvent, Purpose, TimerEvent};
 
 pub(super) enum Stage {
     Dialling,
@@ -96,7 +96,7 @@
     }
 
     /// Sets when its dial is given up, at the latest when its message may no longer begin.
-    pub(super) fn set_dial_deadline(&mut self, slot: ConnSlot, until: Option<Time>, io: &mut Shared) {
+    pub(super) fn set_dial_deadline(&mut self, slot: ConnSlot, until: Option<Time>, io: &mut IoContext) {
         io.deadlines.cancel(self.deadline.take());
         let until = until.into_iter().chain(self.by).min();
         self.deadline = until.map(|until| io.deadlines.set(until, TimerEvent::ConnectTimeout(slot)));
@@ -177,7 +177,7 @@
         ending: AttemptResult,
         load: Load,
         answer: Option<(ResponseHead, Vec<u8>)>,
-        io: &mut Shared,
+        io: &mut IoContext,
     ) {
         let Some(Job { purpose, sent, deadline, .. }) = self.job.take() else { return };
         io.deadlines.cancel(Some(deadline));
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -28,7 +28,7 @@
 use crate::pool::Pool;
 use crate::said::{self, Call, State, Word};
 use crate::shared::{
-    AdminSlot, ClientSlot, ConnSlot, IncomingRequest, Owner, ProxyEvent, RequestSlot, RequestTag, Shared,
+    AdminSlot, ClientSlot, ConnSlot, IncomingRequest, IoContext, Owner, ProxyEvent, RequestSlot, RequestTag,
     TimerEvent,
 };
 use crate::signals::SignalQueue;
@@ -93,7 +93,7 @@
     /// When the last wait was over.
     polled: Time,
     signals: SignalQueue,
-    io: Shared,
+    io: IoContext,
     balancer: Balancer,
     actions: Vec<Action>,
     clients: Clients,
@@ -179,7 +179,7 @@
         let (now, deadlines, counters) = (clock.now(), Deadlines::default(), Counters::default());
         let (client_connections, backend_connections, events) = Default::default();
         let (streaming_requests, streaming_bytes) = (0, config.budgets.bytes / 2);
-        let mut io = Shared {
+        let mut io = IoContext {
             registry,
             now,
             earliest_arrival: now,
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -38,7 +38,7 @@
 /// A process beside this one.
 pub type HandoverSlot = Slot<HandoverTag>;
 
-pub struct Shared {
+pub struct IoContext {
     pub registry: Registry,
     pub now: Time,
     /// What is read now may have come as early as this.
@@ -55,7 +55,7 @@
     pub streaming_bytes: usize,
 }
 
-impl Shared {
+impl IoContext {
     /// Has a link looked at again where a call failed and no event will tell when it may succeed.
     /// Whether it is.
     pub fn schedule_retry<S: Read + Write + Source>(
@@ -77,7 +77,7 @@
 const WINDOW_LEAST: usize = 8 * 1024;
 const WINDOW_MOST: usize = 128 * 1024;
 
-impl Shared {
+impl IoContext {
     /// How much of one body may be on its way through: the same for all.
     pub fn window(&self) -> usize {
         (self.streaming_bytes / self.streaming_requests.max(1)).clamp(WINDOW_LEAST, WINDOW_MOST)
