--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,7 +1,7 @@
 //! What a decision costs, by how many backends are listed and how many requests are held.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
-use sparlug::event::{Action, Condition, Ended, Event, Listing, Load, Outcome, Request};
+use sparlug::event::{Action, AttemptEnd, Condition, Event, Listing, Load, Outcome, Request};
 use sparlug::id::{AttemptNo, BackendId, ClassId, PodId, RequestId, TenantId, ZoneId};
 use sparlug::policy::Balancer;
 use sparlug::settings::{Class, Effect, Settings};
@@ -28,13 +28,13 @@
     let mut balancer = Balancer::new(Settings::for_classes(classes), 7, start, &mut actions);
     let timers = std::mem::take(&mut actions);
     let listings = (0..backends).map(listing).collect();
-    balancer.handle(start, Event::Listed { whole: true, listings }, &mut actions);
+    balancer.handle(start, Event::ListReceived { full: true, listings }, &mut actions);
     // With its first tick it takes the measure of the list.
     let mut start = start;
     for timer in timers {
-        if let Action::Timer { after, mark } = timer {
+        if let Action::SetTimer { after, id } = timer {
             start = start + after;
-            balancer.handle(start, Event::Timer(mark), &mut actions);
+            balancer.handle(start, Event::TimerExpired(id), &mut actions);
         }
     }
     let (mut holds, mut id) = (0, 0);
@@ -57,9 +57,9 @@
         key: None,
         deadline,
         cost: None,
-        whole: true,
+        complete: true,
     };
-    balancer.handle(now, Event::Taken(request), actions);
+    balancer.handle(now, Event::RequestReceived(request), actions);
 }
 
 /// One request from its taking to its answer.
@@ -70,8 +70,9 @@
         let Action::Attempt { request, backend, .. } = action else { continue };
         let (outcome, took, load) = (Outcome::Served, Span::from_millis(20), Load::default());
         let (attempt, answered) = (AttemptNo(0), true);
-        let ended = Ended { request, attempt, backend, outcome, answered, spent: false, took, load };
-        balancer.handle(now, Event::Ended(ended), actions);
+        let ended =
+            AttemptEnd { request, attempt, backend, outcome, answered, body_discarded: false, took, load };
+        balancer.handle(now, Event::AttemptEnded(ended), actions);
     }
     actions.clear();
 }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -8,7 +8,7 @@
 use mio::Interest;
 use socket2::{Domain, Socket, Type};
 use sparlug::id::PeerId;
-use sparlug::word::MOST;
+use sparlug::peer_message::MAX_MESSAGE_BYTES;
 
 use crate::shared::{IoContext, Owner};
 use crate::starting::again;
@@ -60,7 +60,7 @@
     pub fn heard(&self) -> (Vec<(PeerId, Vec<u8>)>, bool) {
         let mut heard = Vec::new();
         let Some(socket) = &self.socket else { return (heard, false) };
-        let mut buffer = [0; MOST + 1]; // a longer message is none of ours
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1]; // a longer message is none of ours
         for _ in 0..AT_ONCE {
             let (length, from) = match socket.recv_from(&mut buffer) {
                 Ok(came) => came,
@@ -69,7 +69,7 @@
                 Err(_) => continue,
             };
             let place = self.all.iter().position(|peer| *peer == from).filter(|place| *place != self.own);
-            if let Some(place) = place.filter(|_| length <= MOST) {
+            if let Some(place) = place.filter(|_| length <= MAX_MESSAGE_BYTES) {
                 heard.push((PeerId(place as u16), buffer[..length].to_vec()));
             }
         }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -198,7 +198,7 @@
         let mut setup = config.setup;
         let peers = Peers::new(setup.peers, setup.settings.ordinal, managed, &io)?;
         // Nothing is said where nobody's address is known.
-        setup.settings.peers &= peers.any() || setup.fleet.is_some();
+        setup.settings.peer_messages &= peers.any() || setup.fleet.is_some();
         let zone = setup.zone_names.get(usize::from(setup.settings.zone.0)).map_or("", String::as_str);
         let about = (config.name.as_str(), zone, setup.settings.instances);
         let fleet = Fleet::new(setup.fleet.as_ref(), about, config.seed, managed);
@@ -372,7 +372,7 @@
     fn due(&mut self, due: TimerEvent) {
         self.io.now = self.clock.now();
         match due {
-            TimerEvent::Balancer(mark) => self.decide(Event::Timer(mark)),
+            TimerEvent::Balancer(id) => self.decide(Event::TimerExpired(id)),
             TimerEvent::RequestDeadline(request) => self.deadline_passed(request),
             TimerEvent::ClientTimeout(slot) => self.clients.due(slot, &mut self.io),
             TimerEvent::Recheck(owner) => self.event(owner),
@@ -398,7 +398,7 @@
         let (heard, more) = self.peers.heard();
         for (from, bytes) in heard {
             self.io.counters.peer_messages += 1;
-            self.decide(Event::PeerSaid { from, bytes });
+            self.decide(Event::PeerMessage { from, bytes });
         }
         if more {
             self.io.deadlines.set(self.io.now, TimerEvent::Recheck(Owner::Peers));
@@ -414,10 +414,12 @@
     fn told(&mut self, told: Vec<Told>) {
         for told in told {
             match told {
-                Told::Counted(instances) => self.decide(Event::Crowd { instances, ordinal: self.ordinal }),
+                Told::Counted(instances) => {
+                    self.decide(Event::InstancesChanged { instances, ordinal: self.ordinal })
+                }
                 Told::Word(from, bytes) => {
                     self.io.counters.peer_messages += 1;
-                    self.decide(Event::PeerSaid { from, bytes });
+                    self.decide(Event::PeerMessage { from, bytes });
                 }
             }
         }
@@ -448,7 +450,7 @@
                 ProxyEvent::ResponseStarted(begun) => self.began(begun),
                 ProxyEvent::RequestBodyReady(request) => self.up(request),
                 ProxyEvent::ResponseBodyReady(request) => self.down(request),
-                ProxyEvent::SendFailed(backend) => self.decide(Event::Unsent(backend)),
+                ProxyEvent::SendFailed(backend) => self.decide(Event::SendFailed(backend)),
                 ProxyEvent::JobEnded(done) => self.ended(done),
                 ProxyEvent::ListReceived(list, before) => self.listed(list, before),
                 ProxyEvent::ListFailed => self.decide(Event::ListFailed),
@@ -483,7 +485,7 @@
             },
             Call::Bar { host, barred } => {
                 let backend = backend_id(&host);
-                let out = self.balancer.barred().any(|out| out == backend);
+                let out = self.balancer.disabled().any(|out| out == backend);
                 if out || self.pool.is_listed(backend) {
                     self.bar(backend, barred);
                     (200, String::new())
@@ -499,18 +501,18 @@
         let counts = self.io.counters.report(self.clients.names());
         let corrected = self.start_times.corrected;
         let (in_flight, known) = (self.clients.in_flight(), self.pool.listed_count());
-        let out = self.balancer.left_out();
+        let out = self.balancer.excluded_count();
         let (fleet, clients) = (self.fleet.figures(self.io.now), self.clients.report());
         format!("{counts}{fleet}{clients}svc.in_flight:{in_flight}|g\nsvc.backends_known:{known}|g\nsvc.backends_excluded:{out}|g\nsvc.start_times_corrected:{corrected}|c\n")
     }
 
     /// Leaves a backend out, or lets it serve again, in the process beside this one too.
     fn bar(&mut self, backend: BackendId, barred: bool) {
-        if self.balancer.barred().any(|out| out == backend) == barred {
+        if self.balancer.disabled().any(|out| out == backend) == barred {
             return;
         }
         tracing::info!(host = self.pool.host(backend), barred, "told by hand");
-        self.decide(Event::Barred { backend, barred });
+        self.decide(Event::SetDisabled { backend, disabled: barred });
         let word = Word::Bar { backend: said::named(backend), barred };
         self.handover.tell(&word, &mut self.io);
     }
@@ -531,7 +533,7 @@
             self.clients.set_ready(&mut self.io);
         }
         self.pool.update_list(list.whole, &list.entries, &mut self.io);
-        self.decide(Event::Listed { whole: list.whole, listings });
+        self.decide(Event::ListReceived { full: list.whole, listings });
     }
 
     fn decide(&mut self, event: Event) {
@@ -542,8 +544,8 @@
     fn carry_out(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Attempt { request, backend, time_out, by } => {
-                    self.attempt(request, backend, time_out, by);
+                Action::Attempt { request, backend, timeout, start_by } => {
+                    self.attempt(request, backend, timeout, start_by);
                 }
                 Action::Refuse { request, backoff, reason } => {
                     self.io.counters.refused += 1;
@@ -562,29 +564,29 @@
                         self.pool.cancel(slot, &mut self.io);
                     }
                 }
-                Action::TimeOut { request, time_out, .. } => {
-                    let until = self.io.now + time_out;
+                Action::SetTimeout { request, timeout, .. } => {
+                    let until = self.io.now + timeout;
                     if let Some(slot) = self.out(request) {
                         self.pool.set_attempt_timeout(slot, until, &mut self.io);
                     }
                 }
-                Action::Timer { after, mark } => {
-                    self.io.deadlines.set(self.io.now + after, TimerEvent::Balancer(mark));
+                Action::SetTimer { after, id } => {
+                    self.io.deadlines.set(self.io.now + after, TimerEvent::Balancer(id));
                 }
                 Action::Check { backend } => self.check(backend),
                 Action::Withdraw { backend } => self.pool.withdraw(backend, &mut self.io),
                 Action::CloseIdle { backend } => self.pool.close_idle(backend, &mut self.io),
-                Action::Watch { on: true } => self.discovery.watch(&mut self.io),
-                Action::Watch { on: false } => self.discovery.stop(&mut self.io),
+                Action::WatchList { on: true } => self.discovery.watch(&mut self.io),
+                Action::WatchList { on: false } => self.discovery.stop(&mut self.io),
                 Action::FetchList => self.discovery.fetch(&mut self.io),
                 Action::Log(text) => match self.pool.host_named_in(&text) {
                     Some(host) => tracing::info!(host, "{text}"),
                     None => tracing::info!("{text}"),
                 },
-                Action::Tell { to, bytes } if self.fleet.is_on() => {
+                Action::SendToPeer { to, bytes } if self.fleet.is_on() => {
                     self.fleet.tell(to.map_or(0, |to| usize::from(to.0)), bytes, &mut self.io);
                 }
-                Action::Tell { to, bytes } => self.peers.tell(to, &bytes),
+                Action::SendToPeer { to, bytes } => self.peers.tell(to, &bytes),
             }
         }
     }
--- a/crates/proxy/src/proxy/lifecycle.rs
+++ b/crates/proxy/src/proxy/lifecycle.rs
@@ -92,7 +92,7 @@
         let state = || {
             let (agent, version) = self.discovery.at_hand();
             let list = version.map(|version| Handed { version, hosts: self.pool.current_list() });
-            State { agent, barred: self.balancer.barred().map(said::named).collect(), list }
+            State { agent, barred: self.balancer.disabled().map(said::named).collect(), list }
         };
         self.handover.accept(self.clients.listener(), state, &mut self.io);
     }
--- a/crates/proxy/src/proxy/requests.rs
+++ b/crates/proxy/src/proxy/requests.rs
@@ -8,7 +8,7 @@
     ClientSlot, ConnSlot, IncomingRequest, JobResult, ProxyEvent, Purpose, RequestSlot, StartedResponse,
     TimerEvent,
 };
-use sparlug::event::{Ended, Event, Outcome, Reason, Request};
+use sparlug::event::{AttemptEnd, Event, Outcome, Reason, Request};
 use sparlug::id::{AttemptNo, BackendId, ClassId, RequestId};
 use sparlug::time::{Span, Time};
 
@@ -38,7 +38,15 @@
         self.io.streaming_requests += usize::from(!whole);
         let id = RequestId(slot.to_number());
         self.clients.holds(client, id);
-        self.decide(Event::Taken(Request { id, class, tenant, key, deadline, cost, whole }));
+        self.decide(Event::RequestReceived(Request {
+            id,
+            class,
+            tenant,
+            key,
+            deadline,
+            cost,
+            complete: whole,
+        }));
     }
 
     pub(super) fn attempt(
@@ -116,7 +124,7 @@
             Some(slot) => self.pool.cancel_unwritten(slot, &mut self.io),
             None => {}
         }
-        self.decide(Event::Left(request));
+        self.decide(Event::ClientGone(request));
     }
 
     /// Sends on what has come of a request and has room.
@@ -167,7 +175,7 @@
         let Some(held) = self.held.get_mut(RequestSlot::from_number(request.0)) else { return };
         let deadline = self.io.earliest_arrival + held.incoming.timeout;
         held.deadline = Some(self.io.deadlines.set(deadline, TimerEvent::RequestDeadline(request)));
-        self.decide(Event::Whole { request, deadline });
+        self.decide(Event::RequestComplete { request, deadline });
     }
 
     /// What comes of a request can't be read any further.
@@ -194,7 +202,16 @@
         self.io.counters.served += 1;
         self.io.counters.count_outcome(Outcome::Served);
         let (outcome, answered, spent) = (Outcome::Served, true, true);
-        self.decide(Event::Ended(Ended { request, attempt, backend, outcome, answered, spent, took, load }));
+        self.decide(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            backend,
+            outcome,
+            answered,
+            body_discarded: spent,
+            took,
+            load,
+        }));
     }
 
     /// Passes on what has come of an answer and has room.
@@ -241,8 +258,8 @@
             let load =
                 response.map_or(load, |(head, message)| http::parse_load_report(&head.body_text(&message)));
             let host = self.pool.host(backend);
-            tracing::trace!(host, ending = ?result, took = took.ms(), held = load.held, "check ended");
-            return self.decide(Event::Checked { backend, outcome, took, load });
+            tracing::trace!(host, ending = ?result, took = took.ms(), held = load.in_flight, "check ended");
+            return self.decide(Event::CheckEnded { backend, outcome, took, load });
         };
         if self.held.get(RequestSlot::from_number(request.0)).is_some_and(|held| held.began.is_some()) {
             return self.streamed(request, backend, result);
@@ -275,8 +292,9 @@
         let answered = self.held.get(slot).is_none_or(|held| held.client.is_none());
         let spent =
             self.held.get(slot).and_then(|held| held.upload.as_ref()).is_some_and(|upload| upload.spent);
-        let ended = Ended { request, attempt, backend, outcome, answered, spent, took, load };
-        self.decide(Event::Ended(ended));
+        let ended =
+            AttemptEnd { request, attempt, backend, outcome, answered, body_discarded: spent, took, load };
+        self.decide(Event::AttemptEnded(ended));
         self.forget(request);
     }
 
@@ -290,7 +308,7 @@
             tracing::debug!(id, host = self.pool.host(backend), ending = ?result, "answer broke off");
             self.clients.cut(client, &mut self.io);
             self.finish(request);
-            self.decide(Event::Broke(backend));
+            self.decide(Event::ResponseAborted(backend));
         }
         self.forget(request);
     }
@@ -341,7 +359,7 @@
             self.io.counters.overdue += 1;
             tracing::warn!(request = request.0, "nothing was answered by the cut-off");
             self.answer(request, 504, None);
-            self.decide(Event::Left(request));
+            self.decide(Event::ClientGone(request));
         }
     }
 }
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -7,7 +7,7 @@
 use mio::event::Source;
 use mio::{Registry, Token};
 use sparlug::event::Load;
-use sparlug::id::{AttemptNo, BackendId, RequestId, TenantId, TimerMark};
+use sparlug::id::{AttemptNo, BackendId, RequestId, TenantId, TimerId};
 use sparlug::time::{Span, Time};
 
 use crate::attempt_result::AttemptResult;
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum TimerEvent {
     /// A timer of the decisions.
-    Balancer(TimerMark),
+    Balancer(TimerId),
     /// A request's deadline.
     RequestDeadline(RequestId),
     /// A client's message that has begun and does not come to its end, or its connection's last moments.
--- a/crates/proxy/tests/framing.rs
+++ b/crates/proxy/tests/framing.rs
@@ -105,7 +105,7 @@
     let mut head = parse_response_head(text).unwrap().unwrap();
     assert_eq!(head.body.parse_buffered(&text[head.length..], false, MAX_BUFFERED_BODY_BYTES), Ok(None));
     assert_eq!(head.body.parse_buffered(&text[head.length..], true, MAX_BUFFERED_BODY_BYTES), Ok(Some(4)));
-    assert_eq!((head.load.held, head.load.waiting), (Some(7.0), Some(2.0)));
+    assert_eq!((head.load.in_flight, head.load.queued), (Some(7.0), Some(2.0)));
     let passed = String::from_utf8(head.for_client(text, true)).unwrap();
     assert!(passed.starts_with("HTTP/1.1 200 OK\r\nServer-Load"), "{passed}");
     assert!(passed.ends_with("Content-Length: 4\r\nConnection: close\r\n\r\nbody"), "{passed}");
@@ -115,7 +115,7 @@
 fn the_answer_to_a_check_bears_its_report_as_its_body() {
     let text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nTEXT inflight=3,\n\r\n0\r\n\r\n";
     let head = parse_response_head(text).unwrap().unwrap();
-    assert_eq!(parse_load_report(&head.body_text(text)).held, Some(3.0));
+    assert_eq!(parse_load_report(&head.body_text(text)).in_flight, Some(3.0));
 }
 
 #[test]
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -110,7 +110,7 @@
         .iter()
         .chain(&called_off)
         .chain(&[answered(400, false)])
-        .all(|ending| ending.outcome().judges_nobody()));
+        .all(|ending| ending.outcome().is_neutral()));
     let theirs = [
         AttemptResult::Refused,
         AttemptResult::NeverUp,
@@ -118,7 +118,7 @@
         answered(500, false),
         answered(429, false),
     ];
-    assert!(!theirs.iter().any(|ending| ending.outcome().judges_nobody()));
+    assert!(!theirs.iter().any(|ending| ending.outcome().is_neutral()));
 }
 
 #[test]
--- a/crates/setup/src/lib.rs
+++ b/crates/setup/src/lib.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use sparlug::event::Load;
 use sparlug::id::ZoneId;
-use sparlug::settings::{Class, Cold, Effect, Group, Settings};
+use sparlug::settings::{Class, Effect, Group, Settings, SlowStart};
 use sparlug::time::Span;
 
 /// Where in a load report the figures stand that the decisions read.
@@ -43,8 +43,8 @@
     let mut load = Load::default();
     for (name, value) in figures.filter(|(_, value)| value.is_finite() && *value >= 0.0) {
         match name {
-            "busy_reqs" | "inflight" => load.held = Some(value),
-            "pending" | "queue" => load.waiting = Some(value),
+            "busy_reqs" | "inflight" => load.in_flight = Some(value),
+            "pending" | "queue" => load.queued = Some(value),
             _ => {}
         }
     }
@@ -251,25 +251,25 @@
         instances: setup.balancers.max(1),
         ordinal: setup.ordinal,
         zone: ZoneId(setup.locality),
-        crossing_priced: setup.penalties.cross_zone > 0.0,
+        cross_zone_priced: setup.penalties.cross_zone > 0.0,
         report_price: asked.then_some(setup.penalties.probe),
-        round: Span::from_ms(setup.round_ms),
+        batch_interval: Span::from_ms(setup.round_ms),
         classes: classes.map_err(|e| format!("settings: {e}"))?,
-        allowances: setup.tenants.iter().map(|tenant| tenant.allowance_per_s).collect(),
-        beyond_share: setup.beyond_share_value,
+        tenant_quotas: setup.tenants.iter().map(|tenant| tenant.allowance_per_s).collect(),
+        over_quota_value: setup.beyond_share_value,
         list_on_request: matches!(setup.discovery, Discovery::OnRequest),
         max_attempts: setup.allowed.max_attempts,
-        full_proves_nothing: setup.obligations.shed_after_start,
-        only_draining_binds: setup.obligations.drain_binds_alone,
-        cancelling: setup.allowed.cancelling,
-        remembers: setup.family_info.warm_keys,
-        peers: setup.allowed.peers,
+        full_may_have_run: setup.obligations.shed_after_start,
+        only_draining_excludes: setup.obligations.drain_binds_alone,
+        cancellation: setup.allowed.cancelling,
+        key_affinity: setup.family_info.warm_keys,
+        peer_messages: setup.allowed.peers,
         max_backoff: setup.allowed.retry_after.then(|| Span::from_ms(setup.allowed.max_retry_after_ms)),
-        cold: Cold {
-            share: setup.obligations.cold_share,
+        slow_start: SlowStart {
+            initial_share: setup.obligations.cold_share,
             ramp: Span::from_ms(setup.obligations.ramp_time_ms),
-            multiple: setup.obligations.fall_multiple,
-            window: Span::from_ms(setup.obligations.tip_after_ms),
+            overload_ratio: setup.obligations.fall_multiple,
+            overload_window: Span::from_ms(setup.obligations.tip_after_ms),
         },
     };
     let (dial, idle) = (Span::from_ms(dial), Span::from_ms(idle));
--- a/crates/setup/src/native.rs
+++ b/crates/setup/src/native.rs
@@ -7,7 +7,7 @@
 
 use serde::Deserialize;
 use sparlug::id::ZoneId;
-use sparlug::settings::{Class, Cold, Effect, Group, Settings};
+use sparlug::settings::{Class, Effect, Group, Settings, SlowStart};
 use sparlug::time::Span;
 use toml::Spanned;
 
@@ -495,11 +495,11 @@
     let b = &read.backends;
     let (dial, idle) = (c.above("backends.dial", &b.dial, "1s"), c.above("backends.idle", &b.idle, "60s"));
     let max_attempts = c.whole("backends.most_forwards", &b.most_attempts, (1, 100), 3) as u16;
-    let cold = Cold {
-        share: c.number("backends.cold_share", &b.cold_share, (0.01, 1.0), 0.3),
+    let slow_start = SlowStart {
+        initial_share: c.number("backends.cold_share", &b.cold_share, (0.01, 1.0), 0.3),
         ramp: c.span("backends.warm_up", &b.warm_up, "8s"),
-        multiple: c.number("backends.cold_multiple", &b.cold_multiple, (1.0, 1000.0), 3.0),
-        window: c.above("backends.cold_window", &b.cold_window, "3s"),
+        overload_ratio: c.number("backends.cold_multiple", &b.cold_multiple, (1.0, 1000.0), 3.0),
+        overload_window: c.above("backends.cold_window", &b.cold_window, "3s"),
     };
     let retry_after = &read.answers.longest_retry_after;
     let max_backoff = retry_after.is_some().then(|| c.span("answers.longest_retry_after", retry_after, "1s"));
@@ -530,21 +530,21 @@
         instances,
         ordinal,
         zone: ZoneId(zone as u16),
-        crossing_priced: tier.crossing_priced,
+        cross_zone_priced: tier.crossing_priced,
         report_price: (reports && probes).then_some(0.0),
-        round: Span::from_millis(1),
+        batch_interval: Span::from_millis(1),
         classes,
-        allowances: Vec::new(),
-        beyond_share: 1.0,
+        tenant_quotas: Vec::new(),
+        over_quota_value: 1.0,
         list_on_request: false,
         max_attempts,
-        cancelling: true,
-        remembers: b.remember_keys,
-        peers: !peers.is_empty() || fleet.is_some(),
+        cancellation: true,
+        key_affinity: b.remember_keys,
+        peer_messages: !peers.is_empty() || fleet.is_some(),
         max_backoff,
-        full_proves_nothing: b.full_proves_nothing,
-        only_draining_binds: b.only_draining_binds,
-        cold,
+        full_may_have_run: b.full_proves_nothing,
+        only_draining_excludes: b.only_draining_binds,
+        slow_start,
     };
     let columns = if reports { Columns { held: Some(0), waiting: Some(1) } } else { Columns::default() };
     let setup = Setup {
--- a/crates/setup/tests/native.rs
+++ b/crates/setup/tests/native.rs
@@ -120,13 +120,13 @@
 fn keys_and_peers_are_off_unless_they_are_set() {
     let found = decode(SMALL).unwrap_or_else(|faults| panic!("{faults:?}"));
     let settings = &found.setup.settings;
-    assert_eq!((settings.remembers, settings.peers, found.setup.peers.len()), (false, false, 0));
+    assert_eq!((settings.key_affinity, settings.peer_messages, found.setup.peers.len()), (false, false, 0));
     let text = SMALL.to_string()
         + "[tier]\nproxies = 2\nordinal = 1\npeers = [\"127.0.0.1:9601\", \"127.0.0.1:9602\"]\n\
            [backends]\nremember_keys = true\n";
     let found = decode(&text).unwrap_or_else(|faults| panic!("{faults:?}"));
     let settings = &found.setup.settings;
-    assert_eq!((settings.remembers, settings.peers, found.setup.peers.len()), (true, true, 2));
+    assert_eq!((settings.key_affinity, settings.peer_messages, found.setup.peers.len()), (true, true, 2));
 }
 
 #[test]
@@ -135,11 +135,14 @@
         "allowed":{"maxForwards":2},"obligations":
         {"coldShare":0.3,"rampTimeMs":8000,"fallMultiple":3,"tipAfterMs":3000}"#;
     let plain = sparlug_setup::decode(format!("{base}}}").as_bytes()).unwrap();
-    assert_eq!((plain.settings.remembers, plain.settings.peers, plain.peers.len()), (false, false, 0));
+    assert_eq!(
+        (plain.settings.key_affinity, plain.settings.peer_messages, plain.peers.len()),
+        (false, false, 0)
+    );
     let more = r#","familyInfo":{"warmKeys":true},"peerAddresses":["127.0.0.1:9601","127.0.0.1:9602"]}"#;
     let full = base.replace("\"maxForwards\":2", "\"maxForwards\":2,\"peers\":true") + more;
     let full = sparlug_setup::decode(full.as_bytes()).unwrap();
-    assert_eq!((full.settings.remembers, full.settings.peers, full.peers.len()), (true, true, 2));
+    assert_eq!((full.settings.key_affinity, full.settings.peer_messages, full.peers.len()), (true, true, 2));
     let few = format!(r#"{base},"peerAddresses":["127.0.0.1:9601"]}}"#);
     assert!(sparlug_setup::decode(few.as_bytes()).unwrap_err().contains("1 peerAddresses for 2 balancers"));
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -48,7 +48,7 @@
             Record::Event(event) => match self.instances.get_mut(&number) {
                 None => return Ok(()),
                 Some(instance) => {
-                    if let Event::Taken(Request { class, .. }) = event {
+                    if let Event::RequestReceived(Request { class, .. }) = event {
                         if usize::from(class.0) >= instance.classes {
                             return Err(format!("class {} is not among the settings' tariffs", class.0));
                         }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's frames and records, to and from the decisions' own words.
 
-use sparlug::event::{Action, Condition, Ended, Event, Listing, Load, Outcome, Request};
-use sparlug::id::{AttemptNo, BackendId, ClassId, PeerId, PodId, RequestId, TenantId, TimerMark, ZoneId};
+use sparlug::event::{Action, AttemptEnd, Condition, Event, Listing, Load, Outcome, Request};
+use sparlug::id::{AttemptNo, BackendId, ClassId, PeerId, PodId, RequestId, TenantId, TimerId, ZoneId};
 use sparlug::time::{Span, Time};
 
 use sparlug_setup::Columns;
@@ -102,9 +102,9 @@
         for place in 0..usize::from(self.u8()?) {
             let value = Some(f64::from(self.f32()?)).filter(|v| v.is_finite() && *v >= 0.0);
             if columns.held == Some(place) {
-                load.held = value;
+                load.in_flight = value;
             } else if columns.waiting == Some(place) {
-                load.waiting = value;
+                load.queued = value;
             }
         }
         Ok(load)
@@ -160,7 +160,7 @@
         }
         let table = self.0.get(number as usize).and_then(Option::as_ref);
         let listings = table.ok_or(format!("list {number} was never defined, at byte {at}"))?.clone();
-        Ok(Event::Listed { whole: form != 0, listings })
+        Ok(Event::ListReceived { full: form != 0, listings })
     }
 }
 
@@ -197,37 +197,37 @@
             let deadline = Time::from_ms(r.f64()?);
             let cost = r.span()?;
             let cost = (r.u16()? & COST_VALID != 0).then_some(cost);
-            Event::Taken(Request { id, class, tenant, key, deadline, cost, whole: true })
+            Event::RequestReceived(Request { id, class, tenant, key, deadline, cost, complete: true })
         }
         40 => {
             let (request, _attempt, backend) = (RequestId(r.u32()?.into()), r.u16()?, r.backend()?);
-            Event::Began { request, backend, took: r.span()? }
+            Event::ResponseStarted { request, backend, took: r.span()? }
         }
         50 => {
             let request = RequestId(r.u32()?.into());
             let (outcome, backend, last) = (r.outcome()?, r.backend()?, r.u8()?);
             let (attempt, took, load) = (AttemptNo(r.u16()?), r.span()?, r.load(columns(instance))?);
-            Event::Ended(Ended {
+            Event::AttemptEnded(AttemptEnd {
                 request,
                 attempt,
                 backend,
                 outcome,
                 answered: last != 0,
-                spent: false,
+                body_discarded: false,
                 took,
                 load,
             })
         }
-        60 => Event::Left(RequestId(r.u32()?.into())),
-        70 => Event::Timer(TimerMark(r.u64()?)),
+        60 => Event::ClientGone(RequestId(r.u32()?.into())),
+        70 => Event::TimerExpired(TimerId(r.u64()?)),
         80 => {
             let (backend, outcome, took) = (r.backend()?, r.outcome()?, r.span()?);
-            Event::Checked { backend, outcome, took, load: r.load(columns(instance))? }
+            Event::CheckEnded { backend, outcome, took, load: r.load(columns(instance))? }
         }
         _ => {
             let from = PeerId(r.u32()? as u16);
             let length = usize::from(r.u16()?);
-            Event::PeerSaid { from, bytes: r.take(length)?.to_vec() }
+            Event::PeerMessage { from, bytes: r.take(length)?.to_vec() }
         }
     };
     Ok(Some((instance, Record::Event(event))))
@@ -250,11 +250,11 @@
 
     pub fn add(&mut self, instance: u16, action: &Action) {
         match action {
-            Action::Attempt { request, backend, time_out, .. } => {
+            Action::Attempt { request, backend, timeout, .. } => {
                 let record = self.begin(50, instance);
                 record.extend(wire_id(request).to_le_bytes());
                 put_backend(record, *backend);
-                record.extend(time_out.ms().to_le_bytes());
+                record.extend(timeout.ms().to_le_bytes());
             }
             Action::Refuse { request, backoff, .. } => {
                 let record = self.begin(10, instance);
@@ -267,21 +267,21 @@
                 record.extend(wire_id(request).to_le_bytes());
                 record.extend(attempt.0.to_le_bytes());
             }
-            Action::Timer { after, mark } => {
+            Action::SetTimer { after, id } => {
                 let record = self.begin(100, instance);
                 record.extend(after.ms().to_le_bytes());
-                record.extend(mark.0.to_le_bytes());
+                record.extend(id.0.to_le_bytes());
             }
             Action::Check { backend } => put_backend(self.begin(80, instance), *backend),
             Action::CloseIdle { backend } => put_backend(self.begin(120, instance), *backend),
             // Nobody bars a backend by hand there, and every request comes whole.
-            Action::Withdraw { .. } | Action::TimeOut { .. } => {}
-            Action::Tell { to, bytes } => {
+            Action::Withdraw { .. } | Action::SetTimeout { .. } => {}
+            Action::SendToPeer { to, bytes } => {
                 let record = self.begin(110, instance);
                 record.extend(to.map_or(PEERS_ALL, |peer| peer.0).to_le_bytes());
                 put_text(record, bytes);
             }
-            Action::Watch { on } => self.begin(90, instance).push(u8::from(*on)),
+            Action::WatchList { on } => self.begin(90, instance).push(u8::from(*on)),
             Action::FetchList => {
                 self.begin(70, instance);
             }
--- a/src/roster.rs
+++ b/src/backend_sampler.rs
@@ -10,7 +10,7 @@
 
 /// All ids and those nearby, in the order in which one instance keeps to them.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct BackendSampler {
     all: Vec<(BackendId, f64)>,
     near: Vec<(BackendId, f64)>,
     largest: f64,
@@ -34,17 +34,22 @@
     -even.ln() / size
 }
 
-impl Roster {
+impl BackendSampler {
     /// From all listings. The part that the instance keeps to is the first `width` of its own order, which
     /// moves by one id for each that comes or goes.
-    pub fn new(all: impl Iterator<Item = Listing>, own: ZoneId, width: f64, ordinal: usize) -> Roster {
+    pub fn new(
+        all: impl Iterator<Item = Listing>,
+        own: ZoneId,
+        width: f64,
+        ordinal: usize,
+    ) -> BackendSampler {
         let mut listings: Vec<_> = all.map(|l| (mark(ordinal as u64, l.backend, 1.0), l)).collect();
         listings.sort_by(|a, b| a.0.total_cmp(&b.0));
         let entry = |l: &Listing| (l.backend, l.size);
         let near = listings.iter().filter(|(_, l)| l.zone == own).map(|(_, l)| entry(l)).collect();
         let all: Vec<_> = listings.iter().map(|(_, l)| entry(l)).collect();
         let largest = all.iter().fold(0.0, |largest: f64, (_, size)| largest.max(*size));
-        Roster { all, near, largest, width: width.ceil() as usize }
+        BackendSampler { all, near, largest, width: width.ceil() as usize }
     }
 
     /// How many of the own part are nearby.
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,57 +1,57 @@
 //! What an instance hears and what it may do.
 
-use crate::id::{AttemptNo, BackendId, ClassId, PeerId, PodId, RequestId, TenantId, TimerMark, ZoneId};
+use crate::id::{AttemptNo, BackendId, ClassId, PeerId, PodId, RequestId, TenantId, TimerId, ZoneId};
+use crate::peer_message::Observation;
 use crate::settings::{Group, Settings};
 use crate::time::{Span, Time};
-use crate::word::Word;
 
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of backends: all of it, or only what changed.
-    Listed {
-        whole: bool,
+    ListReceived {
+        full: bool,
         listings: Vec<Listing>,
     },
     /// A call for the list failed, or the watch on it ended.
     ListFailed,
-    Taken(Request),
+    RequestReceived(Request),
     /// The answer of a streamed request has begun; the client holds this attempt from here on.
-    Began {
+    ResponseStarted {
         request: RequestId,
         backend: BackendId,
         took: Span,
     },
-    Ended(Ended),
+    AttemptEnded(AttemptEnd),
     /// The last byte of a request that was taken before has come, and its time runs from here.
-    Whole {
+    RequestComplete {
         request: RequestId,
         deadline: Time,
     },
     /// An answer that had begun broke off, after its request had ended as served.
-    Broke(BackendId),
+    ResponseAborted(BackendId),
     /// This machine can't send to a backend for the moment: its silence says nothing of it.
-    Unsent(BackendId),
+    SendFailed(BackendId),
     /// The client no longer waits; no answer is owed.
-    Left(RequestId),
-    Timer(TimerMark),
-    Checked {
+    ClientGone(RequestId),
+    TimerExpired(TimerId),
+    CheckEnded {
         backend: BackendId,
         outcome: Outcome,
         took: Span,
         load: Load,
     },
     /// Staff leave a backend out, or let it serve again, whatever the list says.
-    Barred {
+    SetDisabled {
         backend: BackendId,
-        barred: bool,
+        disabled: bool,
     },
     /// How many instances the tier is to be divided by from here on, and this one's number or name among them. An
     /// adapter that has nothing to tell of it never says so.
-    Crowd {
+    InstancesChanged {
         instances: usize,
         ordinal: usize,
     },
-    PeerSaid {
+    PeerMessage {
         from: PeerId,
         bytes: Vec<u8>,
     },
@@ -71,7 +71,7 @@
 
 impl Listing {
     /// Whether it drops repeats of what the other has run, for a class with this group.
-    pub fn shares(&self, other: &Listing, group: Group) -> bool {
+    pub fn shares_repeat_group(&self, other: &Listing, group: Group) -> bool {
         match group {
             Group::All => true,
             Group::Zone => self.zone == other.zone,
@@ -99,13 +99,13 @@
     pub deadline: Time,
     /// A rough guess of its work.
     pub cost: Option<Span>,
-    /// Its last byte has come; if not, `Whole` follows, and until then nothing runs.
-    pub whole: bool,
+    /// Its last byte has come; if not, `RequestComplete` follows, and until then nothing runs.
+    pub complete: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     pub request: RequestId,
     pub attempt: AttemptNo,
     pub backend: BackendId,
@@ -113,12 +113,12 @@
     /// The request has its final answer, by this outcome or earlier.
     pub answered: bool,
     /// Its bytes are no longer held, so that it can't be sent again.
-    pub spent: bool,
+    pub body_discarded: bool,
     pub took: Span,
     pub load: Load,
 }
 
-impl Ended {
+impl AttemptEnd {
     /// The latency that counts for it, if any, and whether it was in time. A full answer counts as a time-out, and
     /// both as one that had not waited: guards against the short time-outs of what waited long passing for quick
     /// answers.
@@ -156,7 +156,7 @@
 
 impl Outcome {
     /// Whether it says neither that the backend does well nor that it fails.
-    pub fn judges_nobody(self) -> bool {
+    pub fn is_neutral(self) -> bool {
         use Outcome::{Cancelled, Faulted, Full, Lost, NotSent, Withdrawn};
         matches!(self, Cancelled | Faulted | Full | Lost | NotSent | Withdrawn)
     }
@@ -165,7 +165,7 @@
     pub fn may_have_run(self, settings: &Settings) -> bool {
         match self {
             Outcome::ConnectFailed | Outcome::NotSent | Outcome::Withdrawn => false,
-            Outcome::Full => settings.full_proves_nothing,
+            Outcome::Full => settings.full_may_have_run,
             _ => true,
         }
     }
@@ -174,8 +174,8 @@
 /// A backend's own report of how many requests it holds and how many of them wait, if it says so.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    pub held: Option<f64>,
-    pub waiting: Option<f64>,
+    pub in_flight: Option<f64>,
+    pub queued: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -183,9 +183,9 @@
     Attempt {
         request: RequestId,
         backend: BackendId,
-        time_out: Span,
+        timeout: Span,
         /// It may not begin from then on: its repeats are dropped no longer.
-        by: Option<Time>,
+        start_by: Option<Time>,
     },
     Refuse {
         request: RequestId,
@@ -201,14 +201,14 @@
         attempt: AttemptNo,
     },
     /// The attempt that is out has so much more time from here.
-    TimeOut {
+    SetTimeout {
         request: RequestId,
         attempt: AttemptNo,
-        time_out: Span,
+        timeout: Span,
     },
-    Timer {
+    SetTimer {
         after: Span,
-        mark: TimerMark,
+        id: TimerId,
     },
     Check {
         backend: BackendId,
@@ -221,11 +221,11 @@
         backend: BackendId,
     },
     /// Tell one peer, or all of them.
-    Tell {
+    SendToPeer {
         to: Option<PeerId>,
         bytes: Vec<u8>,
     },
-    Watch {
+    WatchList {
         on: bool,
     },
     FetchList,
@@ -261,11 +261,11 @@
     Unsent,
     Began(Span),
     /// An outcome, and the latency that counts for it, if any: how long, and whether it was in time.
-    Ended(Ended, Option<(Span, bool)>),
+    Ended(AttemptEnd, Option<(Span, bool)>),
     /// How a check ended, and the report that came with it.
     Checked(Outcome, Load),
     /// What another instance saw of it.
-    Told(Word),
+    Told(Observation),
     /// It may serve again, after staff had left it out.
     Back,
     Tick,
--- a/src/id.rs
+++ b/src/id.rs
@@ -46,4 +46,4 @@
 
 /// Chosen by the decisions when they ask for a timer, and handed back when it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TimerMark(pub u64);
+pub struct TimerId(pub u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,7 +22,7 @@
 //!     started: None,
 //!     size: 1.0,
 //! };
-//! balancer.handle(start, Event::Listed { whole: true, listings: vec![listing] }, &mut actions);
+//! balancer.handle(start, Event::ListReceived { full: true, listings: vec![listing] }, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1),
 //!     class: ClassId(0),
@@ -30,18 +30,18 @@
 //!     key: None,
 //!     deadline: start + Span::from_ms(500.0),
 //!     cost: None,
-//!     whole: true,
+//!     complete: true,
 //! };
-//! balancer.handle(start, Event::Taken(request), &mut actions);
+//! balancer.handle(start, Event::RequestReceived(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Attempt { backend: b, .. } if *b == backend)));
 //! ```
 
+pub mod backend_sampler;
 pub mod event;
 pub mod id;
+pub mod peer_message;
 pub mod policy;
-pub mod roster;
 pub mod settings;
 mod state;
 pub mod stats;
 pub mod time;
-pub mod word;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -10,16 +10,16 @@
 
 use oorandom::Rand32;
 
+use crate::backend_sampler::BackendSampler;
 use crate::event::{
-    Action, BackendNote, Condition, Ended, Event, Listing, Outcome, Reason, Request, TierNote,
+    Action, AttemptEnd, BackendNote, Condition, Event, Listing, Outcome, Reason, Request, TierNote,
 };
-use crate::id::{AttemptNo, BackendId, PeerId, RequestId, TimerMark};
-use crate::roster::Roster;
+use crate::id::{AttemptNo, BackendId, PeerId, RequestId, TimerId};
+use crate::peer_message::{decode, encode};
 use crate::settings::{Effect, Group, Settings};
 use crate::state::{all_barred, census, left_out, words, Backend, Desk, Held, Tier};
 use crate::stats::Mean;
 use crate::time::{Span, Time};
-use crate::word::{decode, encode};
 
 #[cfg(test)]
 mod tests;
@@ -61,9 +61,9 @@
 const PART_LEAST: f64 = 6.0; // and the fewest backends that an instance keeps to
 const PATIENCE: f64 = 0.05; // part of the latency target for which reports are waited for
 const UNSENT: Span = Span::from_millis(50); // for which silence says nothing, once this machine could not send
-const MARK_TICK: TimerMark = TimerMark(u64::MAX);
-const MARK_WATCH: TimerMark = TimerMark(u64::MAX - 1);
-const MARK_ASKED: TimerMark = TimerMark(u64::MAX - 2);
+const MARK_TICK: TimerId = TimerId(u64::MAX);
+const MARK_WATCH: TimerId = TimerId(u64::MAX - 1);
+const MARK_ASKED: TimerId = TimerId(u64::MAX - 2);
 
 /// What a backend finds around it when it reads a note, and where it leaves its own.
 struct Around<'a> {
@@ -81,7 +81,7 @@
             None => self.cap.is_none_or(|cap| self.holds() < cap),
             Some(until) => now >= until && self.in_flight < 1.0,
         };
-        let bears = self.credit >= 1.0 || settings.cold.warmth(self.started(), now) >= 1.0;
+        let bears = self.credit >= 1.0 || settings.slow_start.capacity_ratio(self.started(), now) >= 1.0;
         self.listing.condition == Condition::Ready && free && bears && now >= self.full_until
     }
 
@@ -126,7 +126,7 @@
     fn begin_anew(&mut self, back: Option<Time>, around: &Around) {
         let (listing, in_flight, counted, heard) = (self.listing, self.in_flight, self.counted, around.now);
         *self = Backend { listing, back, in_flight, counted, heard, ..Backend::default() };
-        if around.settings.cold.warmth(self.started(), around.now) < 1.0 {
+        if around.settings.slow_start.capacity_ratio(self.started(), around.now) < 1.0 {
             // Guards against a start that all instances hear of at once: each begins at its own time. Staff
             // call one instance after the other, and see each use the backend again soon.
             (self.cap, self.credit) = (Some(1.0), if back.is_some() { 1.0 } else { around.chance });
@@ -144,9 +144,10 @@
     fn tick(&mut self, around: &mut Around) {
         // Guards against a cold backend being pushed over by all instances together: each sends it its part
         // of what its warmth bears, measured by what its peers carry.
-        let cold = &around.settings.cold;
-        let floor = 2.0 / (around.settings.instances as f64 * (cold.window.ms() / 1000.0).max(0.1));
-        let bears = cold.warmth(self.started(), around.now) * cold.multiple * 0.5 * around.tier.rate;
+        let cold = &around.settings.slow_start;
+        let floor = 2.0 / (around.settings.instances as f64 * (cold.overload_window.ms() / 1000.0).max(0.1));
+        let bears =
+            cold.capacity_ratio(self.started(), around.now) * cold.overload_ratio * 0.5 * around.tier.rate;
         self.credit = (self.credit + bears.max(floor) / TICKS_PER_S).min(1.5);
         self.ghosts.retain(|until| *until > around.now);
         self.tally.fade(FADE);
@@ -157,7 +158,7 @@
         }
     }
 
-    fn ended(&mut self, e: &Ended, sample: Option<(Span, bool)>, around: &mut Around) {
+    fn ended(&mut self, e: &AttemptEnd, sample: Option<(Span, bool)>, around: &mut Around) {
         self.report(e.load, around.now); // first: it still counts the attempt with whose answer it came
         self.in_flight -= 1.0;
         let served = e.outcome == Outcome::Served;
@@ -172,7 +173,7 @@
             // Guards against a storm of attempts at what looks idle as it takes none: it rests a while.
             self.full_until = around.now + Span::from_ms(around.tier.took.or(0.0) * (0.5 + around.chance));
         }
-        if e.outcome.judges_nobody() {
+        if e.outcome.is_neutral() {
             return;
         }
         self.heard = around.now;
@@ -295,7 +296,7 @@
     backends: BTreeMap<BackendId, Backend>,
     barred: BTreeSet<BackendId>, // by hand, whatever the list says
     mail: Vec<BackendId>,        // whose inboxes are not empty
-    roster: Roster,              // all of them; empty when it is to be made anew
+    sampler: BackendSampler,     // all of them; empty when it is to be made anew
     tier: Tier,
     tier_inbox: Vec<TierNote>,
     desk: Desk,
@@ -305,14 +306,26 @@
 impl Balancer {
     pub fn new(settings: Settings, seed: u64, now: Time, out: &mut Vec<Action>) -> Balancer {
         let mut rng = Rand32::new(seed);
-        out.push(Action::Timer { after: Span::ZERO, mark: MARK_TICK });
+        out.push(Action::SetTimer { after: Span::ZERO, id: MARK_TICK });
         if settings.list_on_request {
             let after = Span::from_millis(1500).scaled(rng.rand_float().into());
-            out.push(Action::Timer { after, mark: MARK_WATCH });
+            out.push(Action::SetTimer { after, id: MARK_WATCH });
         }
         let desk = Desk::new(&settings, RETRY_MOST / 2.0);
-        let (backends, barred, mail, roster, tier, tier_inbox, list_failures) = Default::default();
-        Balancer { settings, rng, now, backends, barred, mail, roster, tier, tier_inbox, desk, list_failures }
+        let (backends, barred, mail, sampler, tier, tier_inbox, list_failures) = Default::default();
+        Balancer {
+            settings,
+            rng,
+            now,
+            backends,
+            barred,
+            mail,
+            sampler,
+            tier,
+            tier_inbox,
+            desk,
+            list_failures,
+        }
     }
 
     /// Takes one event and appends what is to be done about it now.
@@ -348,7 +361,7 @@
 
     fn list(&mut self, whole: bool, listings: &[Listing]) {
         self.list_failures = 0;
-        self.roster = Roster::default();
+        self.sampler = BackendSampler::default();
         let left = self.backends.values().filter(|_| whole);
         let left: Vec<_> = left.map(|b| Listing { condition: Condition::Gone, ..b.listing }).collect();
         for listing in left.iter().chain(listings) {
@@ -358,7 +371,7 @@
     }
 
     fn bar(&mut self, backend: BackendId, barred: bool, out: &mut Vec<Action>) {
-        self.roster = Roster::default();
+        self.sampler = BackendSampler::default();
         if barred && self.barred.insert(backend) {
             out.push(Action::Withdraw { backend });
         } else if !barred && self.barred.remove(&backend) {
@@ -369,21 +382,21 @@
     }
 
     /// What staff have left out.
-    pub fn barred(&self) -> impl Iterator<Item = BackendId> + '_ {
+    pub fn disabled(&self) -> impl Iterator<Item = BackendId> + '_ {
         self.barred.iter().copied()
     }
 
     /// How many backends of the list get nothing now, by hand or because they fail.
-    pub fn left_out(&self) -> usize {
+    pub fn excluded_count(&self) -> usize {
         left_out(&self.backends, &self.barred)
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Timer { after: TICK, mark: MARK_TICK });
+        out.push(Action::SetTimer { after: TICK, id: MARK_TICK });
         let before = self.backends.len();
         self.backends.retain(|_, b| b.listing.condition != Condition::Gone || b.holds() > 0.0);
         let moved = self.backends.len() < before;
-        self.roster = if moved { Roster::default() } else { take(&mut self.roster) };
+        self.sampler = if moved { BackendSampler::default() } else { take(&mut self.sampler) };
         self.desk.keys.fade(KEYS_FADE);
         out.extend(self.gossip());
         self.mail = self.backends.keys().copied().collect();
@@ -412,48 +425,48 @@
     /// Tells another instance what was seen last, for each request once at the most: it has a price.
     fn gossip(&mut self) -> Option<Action> {
         let Settings { instances, ordinal, .. } = self.settings;
-        let tells = self.settings.peers && instances > 1 && take(&mut self.desk.met);
+        let tells = self.settings.peer_messages && instances > 1 && take(&mut self.desk.met);
         let next = tells.then(|| self.rng.rand_range(1..instances as u32))?;
         let to = Some(PeerId(((ordinal + next as usize) % instances) as u16));
-        Some(Action::Tell { to, bytes: encode(&self.desk.keys.last, words(&self.backends, self.now)) })
+        Some(Action::SendToPeer { to, bytes: encode(&self.desk.keys.last, words(&self.backends, self.now)) })
     }
 
     fn act(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Listed { whole, listings } => self.list(whole, &listings),
+            Event::ListReceived { full, listings } => self.list(full, &listings),
             Event::ListFailed => {
                 self.list_failures += 1;
                 let wait = (1 << self.list_failures.min(2)) as f32 * (0.5 + self.rng.rand_float());
                 out.push(Action::Log(format!("list lost, failure {}, asking again", self.list_failures)));
-                out.push(Action::Timer { after: TICK.scaled(wait.into()), mark: MARK_WATCH });
+                out.push(Action::SetTimer { after: TICK.scaled(wait.into()), id: MARK_WATCH });
             }
-            Event::Taken(request) => self.taken(request, out),
-            Event::Began { request, backend, took } => {
+            Event::RequestReceived(request) => self.taken(request, out),
+            Event::ResponseStarted { request, backend, took } => {
                 // The client holds a stream that has begun: nothing more is owed for it.
                 self.desk.held.remove(&request);
                 self.tell(backend, BackendNote::Began(took));
             }
-            Event::Barred { backend, barred } => self.bar(backend, barred, out),
-            Event::Crowd { instances, ordinal } => {
+            Event::SetDisabled { backend, disabled } => self.bar(backend, disabled, out),
+            Event::InstancesChanged { instances, ordinal } => {
                 (self.settings.instances, self.settings.ordinal) = (instances.max(1), ordinal);
-                self.roster = Roster::default();
+                self.sampler = BackendSampler::default();
             }
-            Event::Ended(ended) => self.ended(ended, out),
-            Event::Whole { request, deadline } => self.whole(request, deadline, out),
-            Event::Broke(backend) => self.tell(backend, BackendNote::Broke),
-            Event::Unsent(backend) => self.tell(backend, BackendNote::Unsent),
-            Event::Left(id) => drop(self.release(id, out)),
-            Event::Timer(MARK_TICK) => self.tick(out),
-            Event::Timer(MARK_WATCH) => out.push(Action::Watch { on: true }),
-            Event::Checked { backend, outcome, load, .. } => {
+            Event::AttemptEnded(ended) => self.ended(ended, out),
+            Event::RequestComplete { request, deadline } => self.whole(request, deadline, out),
+            Event::ResponseAborted(backend) => self.tell(backend, BackendNote::Broke),
+            Event::SendFailed(backend) => self.tell(backend, BackendNote::Unsent),
+            Event::ClientGone(id) => drop(self.release(id, out)),
+            Event::TimerExpired(MARK_TICK) => self.tick(out),
+            Event::TimerExpired(MARK_WATCH) => out.push(Action::WatchList { on: true }),
+            Event::CheckEnded { backend, outcome, load, .. } => {
                 self.tell(backend, BackendNote::Checked(outcome, load))
             }
-            Event::PeerSaid { bytes, .. } => {
+            Event::PeerMessage { bytes, .. } => {
                 let (keys, words) = decode(&bytes);
                 keys.for_each(|key| self.desk.keys.heard(key));
                 words.for_each(|word| self.tell(word.backend, BackendNote::Told(word)));
             }
-            Event::Timer(mark) => {
+            Event::TimerExpired(mark) => {
                 let id = RequestId(mark.0);
                 let up = |held: &Held| held.due <= self.now && (held.whole || held.out.is_none());
                 if self.desk.held.get(&id).is_some_and(up) {
@@ -465,8 +478,8 @@
 
     /// Only a stand-in: the attempt's own time-out comes a round earlier, and counts as a sample.
     fn stand_in(&self, id: RequestId, due: Time, out: &mut Vec<Action>) {
-        let after = due.since(self.now) + self.settings.round;
-        out.push(Action::Timer { after, mark: TimerMark(id.0) });
+        let after = due.since(self.now) + self.settings.batch_interval;
+        out.push(Action::SetTimer { after, id: TimerId(id.0) });
     }
 
     fn whole(&mut self, id: RequestId, deadline: Time, out: &mut Vec<Action>) {
@@ -478,7 +491,7 @@
         (held.target, held.due, held.whole) = (target, due, true);
         if held.out.is_some() {
             let (attempt, time_out) = (AttemptNo(held.sent - 1), due.since(self.now));
-            out.push(Action::TimeOut { request: id, attempt, time_out });
+            out.push(Action::SetTimeout { request: id, attempt, timeout: time_out });
         }
     }
 
@@ -498,8 +511,8 @@
         self.desk.met = true;
         self.stand_in(id, due, out);
         let held = Held::new(class, self.now, target, due, beyond_share);
-        let key = request.key.filter(|_| self.settings.remembers).inspect(|key| self.desk.keys.add(*key));
-        self.desk.held.insert(id, Held { whole: request.whole, key, ..held });
+        let key = request.key.filter(|_| self.settings.key_affinity).inspect(|key| self.desk.keys.add(*key));
+        self.desk.held.insert(id, Held { whole: request.complete, key, ..held });
         self.desk.first.push(id);
         let chance = (self.load().max(self.reported(id)) - BAND_CHANCE) / (BAND_ALL - BAND_CHANCE);
         if chance > self.rng.rand_float().into() {
@@ -509,7 +522,7 @@
         }
     }
 
-    fn ended(&mut self, e: Ended, out: &mut Vec<Action>) {
+    fn ended(&mut self, e: AttemptEnd, out: &mut Vec<Action>) {
         self.count(e.request);
         let held = self.desk.held.get(&e.request);
         let sample = held.and_then(|held| e.sample(held.class.target));
@@ -523,7 +536,8 @@
         (held.out, held.last) = (None, Some(e.backend));
         let allowed = held.ran.is_none() || held.class.effect != Effect::AtMostOnce;
         let cost = f64::from(u8::from(ran));
-        let more = held.sent < self.settings.max_attempts && e.outcome != Outcome::NotSent && !e.spent;
+        let more =
+            held.sent < self.settings.max_attempts && e.outcome != Outcome::NotSent && !e.body_discarded;
         if allowed && more && self.desk.retry_budget >= cost {
             self.desk.retry_budget -= cost;
             self.desk.further.push(e.request);
@@ -541,7 +555,7 @@
         self.count(id);
         let held = self.desk.held.remove(&id)?;
         self.desk.leave_lines(id);
-        if held.out.is_some() && self.settings.cancelling {
+        if held.out.is_some() && self.settings.cancellation {
             out.push(Action::Cancel { request: id, attempt: AttemptNo(held.sent - 1) });
         }
         Some(held)
@@ -596,7 +610,7 @@
             let (now, wait) = (self.now, self.desk.held[&id].class.target.scaled(PATIENCE));
             self.desk.held.entry(id).and_modify(|held| held.asked = Some((two, now, now + wait)));
             out.extend(two.map(|backend| Action::Check { backend }));
-            out.push(Action::Timer { after: wait, mark: MARK_ASKED });
+            out.push(Action::SetTimer { after: wait, id: MARK_ASKED });
             return true;
         }
         false
@@ -632,7 +646,7 @@
             (Effect::Safe, _) | (_, None) => true,
             (Effect::AtMostOnce, Some(_)) => false,
             (Effect::Keyed { group, .. }, Some((at, _))) => {
-                held.repeats_until() > Some(self.now) && at.shares(&b.listing, group)
+                held.repeats_until() > Some(self.now) && at.shares_repeat_group(&b.listing, group)
             }
         };
         move |backend: BackendId| {
@@ -643,15 +657,15 @@
 
     /// Of two random ready backends the one with less to do, and the other.
     fn pick(&mut self, id: RequestId) -> Option<[BackendId; 2]> {
-        if self.roster.is_empty() {
+        if self.sampler.is_empty() {
             let s = &self.settings;
             let width = (SHARED * self.backends.len() as f64 / s.instances as f64).max(PART_LEAST);
             let open = self.backends.iter().filter(|(id, _)| !self.barred.contains(id));
-            self.roster = Roster::new(open.map(|(_, b)| b.listing), s.zone, width, s.ordinal);
+            self.sampler = BackendSampler::new(open.map(|(_, b)| b.listing), s.zone, width, s.ordinal);
         }
         let best = self.two(id, false)?;
         // Where crossing has a price, two of the own zone are drawn as well.
-        let zoned = self.settings.crossing_priced && self.desk.held[&id].key.is_none();
+        let zoned = self.settings.cross_zone_priced && self.desk.held[&id].key.is_none();
         let near = if zoned { self.two(id, true) } else { None };
         Some(near.filter(|near| self.load_of(near[0]) <= self.load_of(best[0])).unwrap_or(best))
     }
@@ -662,9 +676,9 @@
         let grouped = held.ran.is_some() && held.class.effect != Effect::Safe;
         let (one, other, moved) = if let Some(key) = held.key {
             let homes = SPREAD * self.tier.ready_and_out.0 * self.desk.keys.share(key);
-            self.roster.draw_homes(&mut rng, key, homes, held.last, self.open(id, None))?
+            self.sampler.draw_homes(&mut rng, key, homes, held.last, self.open(id, None))?
         } else {
-            let mut draw = |not| self.roster.draw(&mut rng, near, grouped, self.open(id, not));
+            let mut draw = |not| self.sampler.draw(&mut rng, near, grouped, self.open(id, not));
             let one = draw(None)?;
             (one, draw(Some(one)).unwrap_or(one), false)
         };
@@ -680,12 +694,12 @@
 
     fn load_of(&self, id: BackendId) -> f64 {
         let (b, tier) = (&self.backends[&id], &self.tier);
-        let far = self.settings.crossing_priced && b.listing.zone != self.settings.zone;
+        let far = self.settings.cross_zone_priced && b.listing.zone != self.settings.zone;
         let others = b.others(self.now, tier.others, self.fade());
         // Guards against the seeming idleness of what other zones keep busy and what reports nothing.
         let unseen = if b.others.is_some() { 0.0 } else { UNSEEN * tier.in_flight };
-        let crossing = CROSSING + unseen / self.roster.nearby().max(1) as f64;
-        let weight = b.pace(tier) * b.burden(self.now, tier, self.settings.peers, (PRIOR, WORD_FADE));
+        let crossing = CROSSING + unseen / self.sampler.nearby().max(1) as f64;
+        let weight = b.pace(tier) * b.burden(self.now, tier, self.settings.peer_messages, (PRIOR, WORD_FADE));
         (b.holds() + others + 1.0) * weight + if far { crossing } else { 0.0 }
     }
 
@@ -697,7 +711,7 @@
         held.out = Some((self.backends[&backend].listing, self.now));
         held.sent += 1;
         let by = held.repeats_until();
-        out.push(Action::Attempt { request: id, backend, time_out: held.due.since(self.now), by });
+        out.push(Action::Attempt { request: id, backend, timeout: held.due.since(self.now), start_by: by });
         if held.whole {
             self.tell(backend, BackendNote::Sent);
         }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::event::Load;
 use crate::id::{ClassId, PodId, TenantId, ZoneId};
-use crate::settings::{Class, Cold};
-use crate::word::Word;
+use crate::peer_message::Observation;
+use crate::settings::{Class, SlowStart};
 
 const START: Time = Time::ORIGIN;
 
@@ -38,7 +38,7 @@
 fn request(n: u32) -> Request {
     let (class, tenant) = (ClassId(0), TenantId(0));
     let (id, key, deadline) = (RequestId(n.into()), None, START + ms(500));
-    Request { id, class, tenant, key, deadline, cost: None, whole: true }
+    Request { id, class, tenant, key, deadline, cost: None, complete: true }
 }
 
 fn held(effect: Effect) -> Held {
@@ -52,10 +52,19 @@
     Held { sent: 1, out: Some((listing(0), START)), ..held(effect) }
 }
 
-fn ended(outcome: Outcome) -> Ended {
+fn ended(outcome: Outcome) -> AttemptEnd {
     let (attempt, took) = (AttemptNo(0), ms(50));
     let (request, backend) = (RequestId(1), id(0));
-    Ended { request, attempt, backend, outcome, answered: false, spent: false, took, load: Load::default() }
+    AttemptEnd {
+        request,
+        attempt,
+        backend,
+        outcome,
+        answered: false,
+        body_discarded: false,
+        took,
+        load: Load::default(),
+    }
 }
 
 fn by_pod() -> Effect {
@@ -129,7 +138,7 @@
 #[test]
 fn a_backend_that_a_whole_list_leaves_out_is_gone() {
     let mut b = balancer(Effect::Safe, 2);
-    b.handle(START, Event::Listed { whole: true, listings: vec![listing(1)] }, &mut Vec::new());
+    b.handle(START, Event::ListReceived { full: true, listings: vec![listing(1)] }, &mut Vec::new());
     assert_eq!(b.backends[&id(0)].listing.condition, Condition::Gone);
     assert_eq!(b.backends[&id(1)].listing.condition, Condition::Ready);
 }
@@ -137,7 +146,7 @@
 /// How long it waits, each time, until it asks for the list again.
 fn watch_waits(out: &[Action]) -> Vec<Span> {
     let wait = |action: &Action| match action {
-        Action::Timer { after, mark: MARK_WATCH } => Some(*after),
+        Action::SetTimer { after, id: MARK_WATCH } => Some(*after),
         _ => None,
     };
     out.iter().filter_map(wait).collect()
@@ -166,7 +175,7 @@
 fn the_limit_holds_what_is_above_it() {
     let (mut b, mut out) = (balancer(Effect::Safe, 3), Vec::new());
     b.tier.in_flight = 10.0;
-    b.handle(START, Event::Taken(request(1)), &mut out);
+    b.handle(START, Event::RequestReceived(request(1)), &mut out);
     assert_eq!(b.desk.first, [RequestId(1)]);
     assert!(!out.iter().any(|action| matches!(action, Action::Attempt { .. })));
 }
@@ -239,18 +248,18 @@
 #[test]
 fn the_time_out_ends_before_the_target_and_the_stand_in_timer_after_it() {
     let (mut b, mut out) = (balancer(Effect::Safe, 1), Vec::new());
-    b.handle(START, Event::Taken(request(1)), &mut out);
-    let Action::Timer { after, .. } = out[0] else { panic!("{out:?}") };
-    let Action::Attempt { time_out, .. } = out[1] else { panic!("{out:?}") };
+    b.handle(START, Event::RequestReceived(request(1)), &mut out);
+    let Action::SetTimer { after, .. } = out[0] else { panic!("{out:?}") };
+    let Action::Attempt { timeout: time_out, .. } = out[1] else { panic!("{out:?}") };
     assert!(time_out < after && after < ms(200));
 }
 
 #[test]
 fn a_stream_that_has_begun_is_left_to_the_client() {
     let (mut b, mut out) = (balancer(Effect::Safe, 1), Vec::new());
-    b.handle(START, Event::Taken(request(1)), &mut Vec::new());
-    b.handle(START, Event::Began { request: RequestId(1), backend: id(0), took: ms(5) }, &mut out);
-    b.handle(START + ms(500), Event::Timer(TimerMark(1)), &mut out);
+    b.handle(START, Event::RequestReceived(request(1)), &mut Vec::new());
+    b.handle(START, Event::ResponseStarted { request: RequestId(1), backend: id(0), took: ms(5) }, &mut out);
+    b.handle(START + ms(500), Event::TimerExpired(TimerId(1)), &mut out);
     assert_eq!(out, []);
 }
 
@@ -285,13 +294,13 @@
     for n in [0, 1] {
         b.tell(id(n), BackendNote::Sent);
         let outcome = if n == 0 { Outcome::Error } else { Outcome::Served };
-        let end = Ended { backend: id(n), request: RequestId(2), ..ended(outcome) };
-        b.handle(START, Event::Ended(end), &mut Vec::new());
+        let end = AttemptEnd { backend: id(n), request: RequestId(2), ..ended(outcome) };
+        b.handle(START, Event::AttemptEnded(end), &mut Vec::new());
     }
     assert!(b.backends[&id(0)].out.is_none());
     assert!((0..20).all(|_| first_pick(&mut b) == Some(id(1))));
     // What it did is forgotten with time.
-    (0..400).for_each(|_| b.handle(START, Event::Timer(MARK_TICK), &mut Vec::new()));
+    (0..400).for_each(|_| b.handle(START, Event::TimerExpired(MARK_TICK), &mut Vec::new()));
     assert!((0..40).any(|_| first_pick(&mut b) == Some(id(0))));
 }
 
@@ -304,7 +313,7 @@
     b.backends.values_mut().zip(0u16..).for_each(|(backend, n)| backend.listing.zone = zone(n));
     let fail = |b: &mut Balancer, n| {
         b.tell(id(n), BackendNote::Checked(Outcome::ConnectFailed, Load::default()));
-        b.handle(START, Event::Left(RequestId(9)), &mut Vec::new());
+        b.handle(START, Event::ClientGone(RequestId(9)), &mut Vec::new());
     };
     (0..3).for_each(|_| fail(&mut b, 0));
     assert!(b.load_of(id(1)) > 1.2 * b.load_of(id(2)));
@@ -319,7 +328,7 @@
     b.backends.get_mut(&id(1)).unwrap().others = Some((START + ms(1), 3.0));
     let (outcome, took, load) = (Outcome::ConnectFailed, ms(1), Load::default());
     let mut out = Vec::new();
-    b.handle(START + ms(2), Event::Checked { backend: id(0), outcome, took, load }, &mut out);
+    b.handle(START + ms(2), Event::CheckEnded { backend: id(0), outcome, took, load }, &mut out);
     assert!(out.iter().any(|action| matches!(action, Action::Attempt { backend, .. } if *backend == id(1))));
 }
 
@@ -338,7 +347,7 @@
     b.tier.latency.add(100.0, 1.0);
     let hung = b.backends.get_mut(&id(0)).unwrap();
     (hung.in_flight, hung.counted, b.tier.in_flight) = (3.0, 3.0, 3.0);
-    b.handle(START + ms(400), Event::Timer(MARK_TICK), &mut out);
+    b.handle(START + ms(400), Event::TimerExpired(MARK_TICK), &mut out);
     assert!(b.backends[&id(0)].out.is_some());
     assert_eq!(b.tier.in_flight, 0.0);
 }
@@ -402,8 +411,9 @@
 #[test]
 fn a_cold_backends_credit_grows_slower_than_what_it_bears() {
     let (mut b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    let cold = Cold { share: 0.2, ramp: ms(10_000), multiple: 3.0, window: ms(2000) };
-    (b.settings.cold, b.tier.rate) = (cold, 10.0);
+    let cold =
+        SlowStart { initial_share: 0.2, ramp: ms(10_000), overload_ratio: 3.0, overload_window: ms(2000) };
+    (b.settings.slow_start, b.tier.rate) = (cold, 10.0);
     let mut backend =
         Backend { listing: Listing { started: Some(START), ..listing(0) }, ..Backend::default() };
     backend.tick(&mut around(&b, &mut inbox, &mut out, START));
@@ -415,8 +425,8 @@
 fn the_report_that_comes_with_an_answer_counts_the_attempt_it_ends() {
     let b = balancer(Effect::Safe, 1);
     let mut backend = Backend { in_flight: 2.0, ..Backend::default() };
-    let load = Load { held: Some(5.0), waiting: None };
-    let end = Ended { load, ..ended(Outcome::Served) };
+    let load = Load { in_flight: Some(5.0), queued: None };
+    let end = AttemptEnd { load, ..ended(Outcome::Served) };
     backend.act(BackendNote::Ended(end, None), &mut around(&b, &mut Vec::new(), &mut Vec::new(), START));
     assert_eq!((backend.in_flight, backend.others), (1.0, Some((START, 3.0))));
 }
@@ -428,7 +438,7 @@
     let restarted = Listing { started: Some(START + ms(10)), ..listing(0) };
     let mut backend = Backend { in_flight: 2.0, listing: restarted, ..Backend::default() };
     for (now, strikes) in [(START + ms(50), 0.0), (START + ms(70), 1.0)] {
-        let end = Ended { load: Load { held: Some(5.0), waiting: None }, ..ended(Outcome::Broken) };
+        let end = AttemptEnd { load: Load { in_flight: Some(5.0), queued: None }, ..ended(Outcome::Broken) };
         backend.act(BackendNote::Ended(end, None), &mut around(&b, &mut Vec::new(), &mut Vec::new(), now));
         assert_eq!((backend.strikes, backend.others.is_some()), (strikes, strikes > 0.0));
     }
@@ -502,7 +512,7 @@
 #[test]
 fn shares_are_those_of_the_first_tier() {
     let own = |tier| {
-        let settings = Settings { tier, allowances: vec![8.0], ..Settings::for_classes(Vec::new()) };
+        let settings = Settings { tier, tenant_quotas: vec![8.0], ..Settings::for_classes(Vec::new()) };
         Balancer::new(settings, 1, START, &mut Vec::new()).desk.shares
     };
     assert_eq!((own(0), own(1)), (vec![8.0], vec![]));
@@ -511,7 +521,7 @@
 #[test]
 fn who_names_no_tenant_has_no_share_and_without_tenants_there_are_no_shares() {
     let desk = |allowances| {
-        let settings = Settings { allowances, ..Settings::for_classes(Vec::new()) };
+        let settings = Settings { tenant_quotas: allowances, ..Settings::for_classes(Vec::new()) };
         Balancer::new(settings, 1, START, &mut Vec::new()).desk
     };
     let (mut shared, mut free) = (desk(vec![8.0]), desk(Vec::new()));
@@ -533,7 +543,7 @@
 fn where_instances_outnumber_backends_the_two_drawn_are_asked_first() {
     let (mut b, mut out) = (balancer(Effect::Safe, 2), Vec::new());
     (b.settings.report_price, b.settings.instances) = (Some(0.001), 9);
-    b.handle(START, Event::Taken(request(1)), &mut out);
+    b.handle(START, Event::RequestReceived(request(1)), &mut out);
     assert_eq!(out.iter().filter(|action| matches!(action, Action::Check { .. })).count(), 2);
     assert!(!out.iter().any(|action| matches!(action, Action::Attempt { .. })));
 }
@@ -561,7 +571,7 @@
 fn a_backend_asked_and_then_forgotten_is_not_sent_to() {
     let mut b = asking();
     b.backends.remove(&id(0));
-    b.roster = Roster::default();
+    b.sampler = BackendSampler::default();
     b.now = START + ms(20);
     assert_eq!(b.answered(RequestId(1)), Some(id(1)));
 }
@@ -569,8 +579,8 @@
 /// Draws from 12 backends, of which those below 3 are nearby, with only backend 7 open.
 fn draws(width: usize, near: bool, through_all: bool) -> usize {
     let all = (0..12).map(|n| Listing { zone: ZoneId(n / 3), ..listing(n as u8) });
-    let (roster, mut rng) = (Roster::new(all, ZoneId(0), width as f64, 0), Rand32::new(1));
-    (0..20).filter_map(|_| roster.draw(&mut rng, near, through_all, |b| b == id(7))).count()
+    let (sampler, mut rng) = (BackendSampler::new(all, ZoneId(0), width as f64, 0), Rand32::new(1));
+    (0..20).filter_map(|_| sampler.draw(&mut rng, near, through_all, |b| b == id(7))).count()
 }
 
 #[test]
@@ -598,7 +608,7 @@
 fn what_leaves_the_list_moves_only_what_was_there() {
     let homes = |without: Option<u8>, key| {
         let all = (0..12).filter(|n| Some(*n) != without).map(listing);
-        Roster::new(all, ZoneId(0), 3.0, 0).homes(key, 2, |_| true)
+        BackendSampler::new(all, ZoneId(0), 3.0, 0).homes(key, 2, |_| true)
     };
     for key in 1..200 {
         let (before, after) = (homes(None, key), homes(Some(7), key));
@@ -609,7 +619,7 @@
 
 fn keyed(key: u64, backends: u8) -> Balancer {
     let mut b = balancer(Effect::Safe, backends);
-    b.settings.remembers = true;
+    b.settings.key_affinity = true;
     b.desk.held.insert(RequestId(1), Held { key: Some(key), ..held(Effect::Safe) });
     b
 }
@@ -636,7 +646,7 @@
     b.desk.held.get_mut(&RequestId(1)).unwrap().last = home;
     assert!(first_pick(&mut b) != home);
     (1..20).for_each(|n| drop(b.backends.remove(&id(n))));
-    b.roster = Roster::default();
+    b.sampler = BackendSampler::default();
     assert!(first_pick(&mut b) == Some(id(0)));
 }
 
@@ -652,8 +662,8 @@
 #[test]
 fn what_is_nearby_and_busy_is_weighed_against_the_unseen_load_far_away() {
     let mut b = balancer(Effect::Safe, 2);
-    (b.settings.crossing_priced, b.tier.in_flight) = (true, 4.0);
-    b.roster = Roster::new([listing(0), listing(1)].into_iter(), ZoneId(0), 2.0, 0);
+    (b.settings.cross_zone_priced, b.tier.in_flight) = (true, 4.0);
+    b.sampler = BackendSampler::new([listing(0), listing(1)].into_iter(), ZoneId(0), 2.0, 0);
     let mut prefers_near = |near| {
         b.backends.get_mut(&id(0)).unwrap().in_flight = near;
         b.load_of(id(0)) < b.load_of(id(1))
@@ -676,8 +686,8 @@
 #[test]
 fn a_larger_backend_is_drawn_more_often() {
     let all = [listing(0), Listing { size: 3.0, ..listing(1) }].into_iter();
-    let (roster, mut rng) = (Roster::new(all, ZoneId(0), 2.0, 0), Rand32::new(1));
-    let large = (0..400).filter(|_| roster.draw(&mut rng, false, false, |_| true) == Some(id(1))).count();
+    let (sampler, mut rng) = (BackendSampler::new(all, ZoneId(0), 2.0, 0), Rand32::new(1));
+    let large = (0..400).filter(|_| sampler.draw(&mut rng, false, false, |_| true) == Some(id(1))).count();
     assert!((260..340).contains(&large));
 }
 
@@ -685,40 +695,44 @@
 fn what_staff_bar_gets_nothing_until_it_is_called_back_and_then_starts_cold() {
     let mut balancer = balancer(Effect::Safe, 2);
     let (mut out, mut now) = (Vec::new(), START);
-    let bar = |barred| Event::Barred { backend: id(0), barred };
+    let bar = |barred| Event::SetDisabled { backend: id(0), disabled: barred };
     balancer.handle(now, bar(true), &mut out);
     assert_eq!(out, [Action::Withdraw { backend: id(0) }]);
     // Nothing but the call back lifts it: not a list, and not one that told of a restart.
     let restarted = Listing { started: Some(START), ..listing(0) };
-    balancer.handle(now, Event::Listed { whole: true, listings: vec![restarted, listing(1)] }, &mut out);
+    balancer.handle(now, Event::ListReceived { full: true, listings: vec![restarted, listing(1)] }, &mut out);
     // How many of these are sent to it; each is served at once.
     let sent = |balancer: &mut Balancer, now, numbers: std::ops::Range<u32>| {
         let to = numbers.map(|n| {
             let mut out = Vec::new();
             let taken = Request { deadline: now + ms(500), ..request(n) };
-            balancer.handle(now, Event::Taken(taken), &mut out);
+            balancer.handle(now, Event::RequestReceived(taken), &mut out);
             let attempt = out.iter().find_map(|action| match action {
                 Action::Attempt { backend, .. } => Some(*backend),
                 _ => None,
             });
             let backend = attempt.expect("one of the two is open");
-            let done =
-                Ended { request: RequestId(n.into()), backend, answered: true, ..ended(Outcome::Served) };
-            balancer.handle(now, Event::Ended(done), &mut out);
+            let done = AttemptEnd {
+                request: RequestId(n.into()),
+                backend,
+                answered: true,
+                ..ended(Outcome::Served)
+            };
+            balancer.handle(now, Event::AttemptEnded(done), &mut out);
             backend
         });
         to.filter(|backend| *backend == id(0)).count()
     };
     assert_eq!(sent(&mut balancer, now, 0..50), 0);
-    assert_eq!(balancer.left_out(), 1);
+    assert_eq!(balancer.excluded_count(), 1);
     balancer.handle(now, bar(true), &mut out);
     balancer.handle(now, bar(false), &mut out);
-    assert_eq!((balancer.left_out(), out.last()), (0, Some(&Action::CloseIdle { backend: id(0) })));
+    assert_eq!((balancer.excluded_count(), out.last()), (0, Some(&Action::CloseIdle { backend: id(0) })));
     let back = &balancer.backends[&id(0)];
     assert_eq!((back.started(), back.cap, back.ready(now, &balancer.settings)), (Some(now), Some(1.0), true));
     for _ in 0..20 {
         now = now + TICK;
-        balancer.handle(now, Event::Timer(MARK_TICK), &mut out);
+        balancer.handle(now, Event::TimerExpired(MARK_TICK), &mut out);
     }
     assert!(sent(&mut balancer, now, 50..100) > 0);
 }
@@ -727,8 +741,8 @@
 fn with_all_backends_barred_what_waits_is_refused_at_once() {
     let mut balancer = balancer(Effect::Safe, 1);
     let mut out = Vec::new();
-    balancer.handle(START, Event::Barred { backend: id(0), barred: true }, &mut out);
-    balancer.handle(START, Event::Taken(request(1)), &mut out);
+    balancer.handle(START, Event::SetDisabled { backend: id(0), disabled: true }, &mut out);
+    balancer.handle(START, Event::RequestReceived(request(1)), &mut out);
     assert!(matches!(out.last(), Some(Action::Refuse { .. })), "{out:?}");
 }
 
@@ -736,18 +750,26 @@
 fn a_request_that_is_not_whole_counts_nowhere_and_its_time_begins_with_its_last_byte() {
     let mut balancer = balancer(Effect::AtMostOnce, 1);
     let (mut out, later) = (Vec::new(), START + ms(3000));
-    balancer.handle(START, Event::Taken(Request { whole: false, ..request(1) }), &mut out);
+    balancer.handle(START, Event::RequestReceived(Request { complete: false, ..request(1) }), &mut out);
     assert!(matches!(out.last(), Some(Action::Attempt { .. })), "{out:?}");
     assert_eq!((balancer.backends[&id(0)].in_flight, balancer.tier.in_flight), (0.0, 0.0));
     // Its own timer comes long before its last byte, and ends nothing.
     out.clear();
-    balancer.handle(START + ms(250), Event::Timer(TimerMark(1)), &mut out);
+    balancer.handle(START + ms(250), Event::TimerExpired(TimerId(1)), &mut out);
     assert_eq!(out, []);
-    balancer.handle(later, Event::Whole { request: RequestId(1), deadline: later + ms(500) }, &mut out);
-    let more = |action: &Action| matches!(action, Action::TimeOut { time_out, .. } if *time_out > ms(150));
+    balancer.handle(
+        later,
+        Event::RequestComplete { request: RequestId(1), deadline: later + ms(500) },
+        &mut out,
+    );
+    let more = |action: &Action| matches!(action, Action::SetTimeout { timeout, .. } if *timeout > ms(150));
     assert!(out.iter().any(more), "{out:?}");
     assert_eq!(balancer.tier.in_flight, 1.0);
-    balancer.handle(later, Event::Ended(Ended { answered: true, ..ended(Outcome::Served) }), &mut out);
+    balancer.handle(
+        later,
+        Event::AttemptEnded(AttemptEnd { answered: true, ..ended(Outcome::Served) }),
+        &mut out,
+    );
     assert_eq!(balancer.tier.in_flight, 0.0);
 }
 
@@ -756,13 +778,17 @@
     for left in [true, false] {
         let mut balancer = balancer(Effect::AtMostOnce, 1);
         let mut out = Vec::new();
-        balancer.handle(START, Event::Taken(Request { whole: false, ..request(1) }), &mut out);
+        balancer.handle(START, Event::RequestReceived(Request { complete: false, ..request(1) }), &mut out);
         if left {
-            balancer.handle(START, Event::Left(RequestId(1)), &mut out);
+            balancer.handle(START, Event::ClientGone(RequestId(1)), &mut out);
         }
         // Its bytes are gone: it is refused, and not sent again.
         out.clear();
-        balancer.handle(START, Event::Ended(Ended { spent: true, ..ended(Outcome::Withdrawn) }), &mut out);
+        balancer.handle(
+            START,
+            Event::AttemptEnded(AttemptEnd { body_discarded: true, ..ended(Outcome::Withdrawn) }),
+            &mut out,
+        );
         assert_eq!(out.iter().any(|action| matches!(action, Action::Refuse { .. })), !left, "{out:?}");
         assert!(!out.iter().any(|action| matches!(action, Action::Attempt { .. })), "{out:?}");
         assert_eq!((balancer.backends[&id(0)].in_flight, balancer.tier.in_flight), (0.0, 0.0));
@@ -772,7 +798,7 @@
 #[test]
 fn an_answer_that_breaks_off_counts_against_its_backend() {
     let mut balancer = balancer(Effect::Safe, 2);
-    balancer.handle(START, Event::Broke(id(0)), &mut Vec::new());
+    balancer.handle(START, Event::ResponseAborted(id(0)), &mut Vec::new());
     assert!(
         balancer.backends[&id(0)].burden(START, &balancer.tier, false, (PRIOR, WORD_FADE))
             > balancer.backends[&id(1)].burden(START, &balancer.tier, false, (PRIOR, WORD_FADE))
@@ -788,11 +814,11 @@
         let ran = !never.contains(&outcome) && (outcome != Full || proves_nothing);
         for effect in [Effect::Safe, by_pod(), Effect::AtMostOnce] {
             let mut balancer = balancer(effect, 4);
-            balancer.settings.full_proves_nothing = proves_nothing;
+            balancer.settings.full_may_have_run = proves_nothing;
             assert_eq!(outcome.may_have_run(&balancer.settings), ran, "{outcome:?}");
             balancer.desk.held.insert(RequestId(1), forwarded(effect));
             let mut out = Vec::new();
-            balancer.handle(START + ms(1), Event::Ended(ended(outcome)), &mut out);
+            balancer.handle(START + ms(1), Event::AttemptEnded(ended(outcome)), &mut out);
             let to = out.iter().find_map(|action| match action {
                 Action::Attempt { backend, .. } => Some(*backend),
                 _ => None,
@@ -818,8 +844,8 @@
         b.settings.instances = instances;
         b.backends.values_mut().for_each(|b| b.others = Some((START, held)));
         let mut out = Vec::new();
-        b.handle(START, Event::Timer(MARK_TICK), &mut out);
-        b.handle(START, Event::Taken(request(1)), &mut out);
+        b.handle(START, Event::TimerExpired(MARK_TICK), &mut out);
+        b.handle(START, Event::RequestReceived(request(1)), &mut out);
         !out.iter().any(|action| matches!(action, Action::Refuse { .. }))
     };
     assert!(taken(30.0, 1) && taken(1.0, 40));
@@ -840,11 +866,11 @@
 #[test]
 fn what_a_peer_saw_turns_picks_away_until_it_is_old() {
     let mut b = balancer(Effect::Safe, 2);
-    (b.settings.peers, b.settings.instances, b.tier.crowd) = (true, 8, 4.0);
+    (b.settings.peer_messages, b.settings.instances, b.tier.crowd) = (true, 8, 4.0);
     b.desk.held.insert(RequestId(1), held(Effect::Safe));
-    let word = |age| Word { backend: id(0), age, held: Some(0.0), failing: 1.0 };
+    let word = |age| Observation { backend: id(0), age, in_flight: Some(0.0), failure_ratio: 1.0 };
     let bytes = encode(&Default::default(), [word(ms(100)), word(ms(4000))].into_iter());
-    b.handle(START + ms(5000), Event::PeerSaid { from: PeerId(3), bytes }, &mut Vec::new());
+    b.handle(START + ms(5000), Event::PeerMessage { from: PeerId(3), bytes }, &mut Vec::new());
     assert!((0..20).all(|_| first_pick(&mut b) == Some(id(1))));
     b.now = START + ms(60_000);
     assert!((0..60).any(|_| first_pick(&mut b) == Some(id(0))));
@@ -854,18 +880,18 @@
 fn an_instance_tells_one_other_what_it_saw_and_only_where_peers_may() {
     for (peers, instances, told) in [(true, 5, 1), (true, 1, 0), (false, 5, 0)] {
         let mut b = balancer(Effect::Safe, 2);
-        (b.settings.peers, b.settings.instances, b.settings.ordinal) = (peers, instances, 3);
+        (b.settings.peer_messages, b.settings.instances, b.settings.ordinal) = (peers, instances, 3);
         b.backends.get_mut(&id(1)).unwrap().others = Some((START, 2.0));
         b.desk.keys.add(7);
         let mut out = Vec::new();
-        b.handle(START, Event::Timer(MARK_TICK), &mut out);
-        assert!(!out.iter().any(|action| matches!(action, Action::Tell { .. })), "nothing was taken");
+        b.handle(START, Event::TimerExpired(MARK_TICK), &mut out);
+        assert!(!out.iter().any(|action| matches!(action, Action::SendToPeer { .. })), "nothing was taken");
         b.desk.met = true;
-        b.handle(START, Event::Timer(MARK_TICK), &mut out);
+        b.handle(START, Event::TimerExpired(MARK_TICK), &mut out);
         let tells: Vec<_> = out
             .iter()
             .filter_map(|action| match action {
-                Action::Tell { to, bytes } => {
+                Action::SendToPeer { to, bytes } => {
                     Some((to.unwrap(), decode(bytes).0.count(), decode(bytes).1.count()))
                 }
                 _ => None,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -13,41 +13,41 @@
     pub ordinal: usize,
     pub zone: ZoneId,
     /// Crossing zones has a price.
-    pub crossing_priced: bool,
+    pub cross_zone_priced: bool,
     /// Where answers report what a backend holds: the price of a check that asks for such a report, for each
     /// request; `None` where there are none.
     pub report_price: Option<f64>,
     /// The shortest time between two batches of events.
-    pub round: Span,
+    pub batch_interval: Span,
     pub classes: Vec<Class>,
     /// Requests a second that each tenant may ask of all instances together.
-    pub allowances: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
     /// What a request beyond its tenant's share is worth, as a part of its value.
-    pub beyond_share: f64,
+    pub over_quota_value: f64,
     /// The list must be asked for.
     pub list_on_request: bool,
     pub max_attempts: u16,
     /// Backends say that they are full of work that they had begun, too.
-    pub full_proves_nothing: bool,
+    pub full_may_have_run: bool,
     /// A backend that is gone, or left out, and was never listed as draining, may still be sent to.
-    pub only_draining_binds: bool,
-    pub cancelling: bool,
+    pub only_draining_excludes: bool,
+    pub cancellation: bool,
     /// A backend that has met a request's key of late needs less work for it.
-    pub remembers: bool,
+    pub key_affinity: bool,
     /// Instances may tell each other things.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// The longest backoff that clients heed; `None` where they are not told any.
     pub max_backoff: Option<Span>,
-    pub cold: Cold,
+    pub slow_start: SlowStart,
 }
 
 /// What a backend that has just started can bear.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
-    pub share: f64,
+pub struct SlowStart {
+    pub initial_share: f64,
     pub ramp: Span,
-    pub multiple: f64,
-    pub window: Span,
+    pub overload_ratio: f64,
+    pub overload_window: Span,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -77,11 +77,11 @@
     Pod,
 }
 
-impl Cold {
+impl SlowStart {
     /// The part of its full capacity that a backend surely has at `now`; 1 once it is warm.
-    pub fn warmth(&self, started: Option<Time>, now: Time) -> f64 {
+    pub fn capacity_ratio(&self, started: Option<Time>, now: Time) -> f64 {
         let age = started.map_or(f64::INFINITY, |started| now.since(started).ms());
-        (self.share + (1.0 - self.share) * age / self.ramp.ms().max(1.0)).min(1.0)
+        (self.initial_share + (1.0 - self.initial_share) * age / self.ramp.ms().max(1.0)).min(1.0)
     }
 }
 
@@ -95,7 +95,7 @@
     /// When an answer to what came whole `now` is late, and when the final answer is given.
     pub fn times(&self, class: &Class, now: Time, deadline: Time, cost: Option<Span>) -> (Time, Time) {
         // Room for the time between two batches, and for the answer's way back.
-        let margin = self.round.scaled(2.0) + Span::from_millis(2);
+        let margin = self.batch_interval.scaled(2.0) + Span::from_millis(2);
         let (last, stretch) = (deadline - margin, cost.unwrap_or_default().scaled(class.target_stretch));
         let target = last.min(now + class.deadline.min(class.target + stretch) - margin);
         (target, if class.late_value > 0.0 { last } else { target })
@@ -108,25 +108,25 @@
             instances: 1,
             ordinal: 0,
             zone: ZoneId(0),
-            crossing_priced: false,
+            cross_zone_priced: false,
             report_price: None,
-            round: Span::from_millis(1),
+            batch_interval: Span::from_millis(1),
             classes,
-            allowances: Vec::new(),
-            beyond_share: 1.0,
+            tenant_quotas: Vec::new(),
+            over_quota_value: 1.0,
             list_on_request: false,
             max_attempts: 3,
-            full_proves_nothing: false,
-            only_draining_binds: false,
-            cancelling: true,
-            remembers: false,
-            peers: false,
+            full_may_have_run: false,
+            only_draining_excludes: false,
+            cancellation: true,
+            key_affinity: false,
+            peer_messages: false,
             max_backoff: Some(Span::from_millis(1000)),
-            cold: Cold {
-                share: 0.2,
+            slow_start: SlowStart {
+                initial_share: 0.2,
                 ramp: Span::from_millis(10_000),
-                multiple: 3.0,
-                window: Span::from_millis(2000),
+                overload_ratio: 3.0,
+                overload_window: Span::from_millis(2000),
             },
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,10 +4,10 @@
 
 use crate::event::{BackendNote, Condition, Event, Listing, Load, TierNote};
 use crate::id::{BackendId, RequestId, TenantId, ZoneId};
+use crate::peer_message::{Observation, MAX_OBSERVATION_AGE};
 use crate::settings::{Class, Effect, Settings};
 use crate::stats::{Keys, Mean, Tally, Trend, Window};
 use crate::time::Time;
-use crate::word::{Word, OLDEST};
 
 /// The one record of a backend.
 #[derive(Default)]
@@ -70,7 +70,7 @@
 
     /// What it says that it holds, without this instance's attempts.
     pub fn report(&mut self, load: Load, now: Time) {
-        let said = load.held.or(load.waiting).map(|held| (now, (held - self.in_flight).max(0.0)));
+        let said = load.in_flight.or(load.queued).map(|held| (now, (held - self.in_flight).max(0.0)));
         self.others = said.or(self.others);
     }
 
@@ -90,21 +90,25 @@
     }
 
     /// Takes another instance's word where it is newer than what is known.
-    pub fn hear(&mut self, word: Word, now: Time) {
+    pub fn hear(&mut self, word: Observation, now: Time) {
         let at = now - word.age;
         let newer = |known: Option<(Time, f64)>| known.is_none_or(|(known, _)| known < at);
-        self.word = if newer(self.word) { Some((at, word.failing)) } else { self.word };
-        let held = word.held.filter(|_| newer(self.others)).map(|held| (at, held));
+        self.word = if newer(self.word) { Some((at, word.failure_ratio)) } else { self.word };
+        let held = word.in_flight.filter(|_| newer(self.others)).map(|held| (at, held));
         self.others = held.or(self.others);
     }
 
     /// What there is to tell others of it, unless it is old.
-    pub fn tells(&self, now: Time) -> Option<Word> {
+    pub fn tells(&self, now: Time) -> Option<Observation> {
         let seen = self.others.map(|(at, _)| at).max(self.word.map(|(at, _)| at))?;
         let (age, held) = (now.since(seen), self.others.map(|(_, held)| held));
-        let word =
-            Word { backend: self.listing.backend, age, held, failing: self.word.map_or(0.0, |(_, f)| f) };
-        (age < OLDEST).then_some(word)
+        let word = Observation {
+            backend: self.listing.backend,
+            age,
+            in_flight: held,
+            failure_ratio: self.word.map_or(0.0, |(_, f)| f),
+        };
+        (age < MAX_OBSERVATION_AGE).then_some(word)
     }
 
     /// What others have in flight here: its report, which fades towards the mean of all reports with age.
@@ -238,7 +242,7 @@
     /// With a retry budget, and shares of what tenants may ask: those of the first tier's clients; below it they have been
     /// dealt with.
     pub fn new(settings: &Settings, retry_budget: f64) -> Desk {
-        let own = settings.allowances.iter().filter(|_| settings.tier == 0);
+        let own = settings.tenant_quotas.iter().filter(|_| settings.tier == 0);
         let shares = own.map(|allowance| allowance / settings.instances as f64).collect();
         Desk { retry_budget, shares, mode: "ordinary", ..Desk::default() }
     }
@@ -249,7 +253,7 @@
 
     /// Gives each tenant its part of what it may ask of one instance in an update interval.
     pub fn refill(&mut self, settings: &Settings, ticks_per_s: f64) {
-        for (share, allowance) in self.shares.iter_mut().zip(&settings.allowances) {
+        for (share, allowance) in self.shares.iter_mut().zip(&settings.tenant_quotas) {
             let own = allowance / settings.instances as f64;
             *share = (share.max(0.0) + own / ticks_per_s).min(own);
         }
@@ -310,7 +314,7 @@
 }
 
 /// What there is to tell another instance of them, the newest first.
-pub fn words(backends: &BTreeMap<BackendId, Backend>, now: Time) -> impl Iterator<Item = Word> {
+pub fn words(backends: &BTreeMap<BackendId, Backend>, now: Time) -> impl Iterator<Item = Observation> {
     let mut words: Vec<_> = backends.values().filter_map(|b| b.tells(now)).collect();
     words.sort_by_key(|word| word.age);
     words.into_iter()
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::peer_message::MAX_KEYS;
 use crate::time::{Span, Time};
-use crate::word::KEYS_MOST;
 
 /// An exponentially smoothed mean, whose first value is taken whole.
 #[derive(Clone, Copy, Debug, Default)]
@@ -140,7 +140,7 @@
     pub fn add(&mut self, key: u64) {
         self.heard(Keys::short(key));
         self.last.push_back(Keys::short(key));
-        self.last.drain(..self.last.len().saturating_sub(KEYS_MOST));
+        self.last.drain(..self.last.len().saturating_sub(MAX_KEYS));
     }
 
     pub fn heard(&mut self, key: u32) {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use oorandom::Rand32;
-use sparlug::event::{Action, Condition, Ended, Event, Listing, Load, Outcome, Request};
-use sparlug::id::{AttemptNo, BackendId, ClassId, PodId, RequestId, TenantId, TimerMark, ZoneId};
+use sparlug::event::{Action, AttemptEnd, Condition, Event, Listing, Load, Outcome, Request};
+use sparlug::id::{AttemptNo, BackendId, ClassId, PodId, RequestId, TenantId, TimerId, ZoneId};
 use sparlug::policy::Balancer;
-use sparlug::settings::{Class, Cold, Effect, Settings};
+use sparlug::settings::{Class, Effect, Settings, SlowStart};
 use sparlug::time::{Span, Time};
 
 const BACKENDS: u8 = 12;
@@ -17,8 +17,12 @@
 const LOAD: f64 = 0.75; // of what all backends can do
 const START_S: f64 = 6.0; // by then the instances know what their traffic is
 const END_S: f64 = 18.0;
-const COLD: Cold =
-    Cold { share: 0.25, ramp: Span::from_millis(8_000), multiple: 2.0, window: Span::from_millis(2_000) };
+const COLD: SlowStart = SlowStart {
+    initial_share: 0.25,
+    ramp: Span::from_millis(8_000),
+    overload_ratio: 2.0,
+    overload_window: Span::from_millis(2_000),
+};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Case {
@@ -105,11 +109,12 @@
     fn start(&mut self, number: usize, count: usize, turn: u32) -> (u32, Balancer) {
         let class = Class::new(Span::from_millis(600), Span::from_millis(1_500), Effect::Safe);
         let usual = Settings::for_classes(vec![class]);
-        let settings = Settings { instances: count, ordinal: number, cold: COLD, max_attempts: 4, ..usual };
+        let settings =
+            Settings { instances: count, ordinal: number, slow_start: COLD, max_attempts: 4, ..usual };
         let (mut out, now, seed) = (Vec::new(), self.time(), u64::from(self.rng.rand_u32()));
         let mut balancer = Balancer::new(settings, seed, now, &mut out);
         let listings = (0..BACKENDS).map(|number| self.listing(number)).collect();
-        balancer.handle(now, Event::Listed { whole: true, listings }, &mut out);
+        balancer.handle(now, Event::ListReceived { full: true, listings }, &mut out);
         self.carry_out(number, turn, out);
         (turn, balancer)
     }
@@ -130,15 +135,15 @@
     /// What part of a warm backend's capacity one has at a time, in seconds.
     fn capacity(&self, number: u8, at: f64) -> f64 {
         let ramp = COLD.ramp.ms() / 1000.0;
-        let part = |started: &f64| COLD.share + (1.0 - COLD.share) * (at - started) / ramp;
+        let part = |started: &f64| COLD.initial_share + (1.0 - COLD.initial_share) * (at - started) / ramp;
         self.started.get(&number).map_or(1.0, part).min(1.0)
     }
 
     fn carry_out(&mut self, number: usize, turn: u32, out: Vec<Action>) {
         for action in out {
             match action {
-                Action::Timer { after, mark } => {
-                    self.set(self.now + after.ms() / 1000.0, Due::Timer(number, turn, mark.0));
+                Action::SetTimer { after, id } => {
+                    self.set(self.now + after.ms() / 1000.0, Due::Timer(number, turn, id.0));
                 }
                 Action::Attempt { request, backend, .. } => {
                     let (to, now) = (backend.address[3], self.now);
@@ -172,11 +177,11 @@
                 self.came += 1;
                 let (id, deadline) = (RequestId(self.came), self.time() + Span::from_millis(1_500));
                 let (class, tenant, key, cost) = (ClassId(0), TenantId(0), None, None);
-                let request = Request { id, class, tenant, key, deadline, cost, whole: true };
-                self.tell(place as usize, Event::Taken(request));
+                let request = Request { id, class, tenant, key, deadline, cost, complete: true };
+                self.tell(place as usize, Event::RequestReceived(request));
             }
             Due::Timer(number, turn, mark) if self.instances[number].0 == turn => {
-                self.tell(number, Event::Timer(TimerMark(mark)));
+                self.tell(number, Event::TimerExpired(TimerId(mark)));
             }
             Due::Ended(number, turn, request, to) if self.instances[number].0 == turn => {
                 let fails = self.case == Case::Retries && self.chance() < 0.25;
@@ -184,8 +189,17 @@
                 let (request, attempt, took) =
                     (RequestId(request), AttemptNo(0), Span::from_ms(WORK_S * 1000.0));
                 let (backend, answered, spent, load) = (backend(to), !fails, false, Load::default());
-                let ended = Ended { request, attempt, backend, outcome, answered, spent, took, load };
-                self.tell(number, Event::Ended(ended));
+                let ended = AttemptEnd {
+                    request,
+                    attempt,
+                    backend,
+                    outcome,
+                    answered,
+                    body_discarded: spent,
+                    took,
+                    load,
+                };
+                self.tell(number, Event::AttemptEnded(ended));
             }
             Due::Timer(..) | Due::Ended(..) => {}
             Due::Lists(back) => {
@@ -194,7 +208,7 @@
                 }
                 let listings: Vec<_> = self.cold().map(|number| self.listing(number)).collect();
                 for number in 0..self.instances.len() {
-                    self.tell(number, Event::Listed { whole: false, listings: listings.clone() });
+                    self.tell(number, Event::ListReceived { full: false, listings: listings.clone() });
                 }
             }
             Due::Restart => {
@@ -219,11 +233,11 @@
 
     /// The worst window of any backend: what it was sent, over what pushes it over.
     fn worst(&self) -> f64 {
-        let window = COLD.window.ms() / 1000.0;
+        let window = COLD.overload_window.ms() / 1000.0;
         let of = |(number, times): (&u8, &Vec<f64>)| {
             let at = |from: &f64| {
                 let sent = times.iter().filter(|at| (*from..from + window).contains(*at)).count() as f64;
-                let bears = COLD.multiple * self.capacity(*number, *from) * window / WORK_S;
+                let bears = COLD.overload_ratio * self.capacity(*number, *from) * window / WORK_S;
                 sent / (bears + 2.0 * bears.sqrt() + 2.0)
             };
             times.iter().map(at).fold(0.0, f64::max)
