--- a/crates/command/src/serve.rs
+++ b/crates/command/src/serve.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use sparlug_proxy::config::{Config, Source};
+use sparlug_proxy::config::{Config, ConfigSource};
 use sparlug_proxy::logging::LogWriter;
 use sparlug_proxy::proxy::Proxy;
 use sparlug_proxy::signals::SignalQueue;
@@ -45,19 +45,19 @@
 
 pub fn serve(config: Option<PathBuf>, log: Logging) -> Result<(), Failed> {
     // First of all: guards against a signal that comes before the program is up and ends it.
-    let signals = SignalQueue::hear().map_err(Failed::could_not)?;
-    let source = config.map_or(Source::Environment, Source::File);
-    let config = Config::read_patiently(&source).map_err(|e| Failed::unusable(e.to_string()))?;
+    let signals = SignalQueue::install().map_err(Failed::could_not)?;
+    let source = config.map_or(ConfigSource::Environment, ConfigSource::File);
+    let config = Config::read_with_retries(&source).map_err(|e| Failed::unusable(e.to_string()))?;
     log.start(config.log.as_deref(), Some(config.log_format))?;
     let proxy = Proxy::new(config, source, signals).map_err(Failed::could_not)?;
     proxy.run().map_err(|e| Failed::could_not(format!("cannot poll: {e}")))
 }
 
 pub fn check(file: &Path) -> Result<(), Failed> {
-    let config = Config::read(&Source::File(file.to_path_buf()));
+    let config = Config::read(&ConfigSource::File(file.to_path_buf()));
     let config = config.map_err(|e| Failed::unusable(e.to_string()))?;
     let classes = config.setup.class_names.join(", ");
-    let list = match (config.discovery, &config.known) {
+    let list = match (config.discovery, &config.initial_list) {
         (Some(agent), _) => format!("backends from the agent at {agent}"),
         (None, known) => format!("{} backends listed", known.as_ref().map_or(0, |list| list.entries.len())),
     };
--- a/crates/lab/src/clock.rs
+++ b/crates/lab/src/clock.rs
@@ -92,7 +92,7 @@
 impl std::str::FromStr for Micros {
     type Err = String;
     fn from_str(text: &str) -> Result<Micros, String> {
-        sparlug_setup::native::span(text).map(|span| Micros::from_ms(span.ms()))
+        sparlug_setup::native::parse_span(text).map(|span| Micros::from_ms(span.ms()))
     }
 }
 
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -320,7 +320,7 @@
             // Guards against large requests filling the memory before they are whole.
             Ok(None)
                 if client.link.input.len() > MAX_HEAD_BYTES
-                    && self.unread - client.counted + client.link.input.len() > self.budgets.bytes =>
+                    && self.unread - client.counted + client.link.input.len() > self.budgets.buffer_bytes =>
             {
                 self.reply(slot, 503, true, io);
             }
--- a/crates/proxy/src/clients/room.rs
+++ b/crates/proxy/src/clients/room.rs
@@ -7,7 +7,7 @@
 
 use super::{Clients, FRESH, LINGERING};
 use crate::close_reason::CloseReason;
-use crate::config::OWN_SOCKETS;
+use crate::config::RESERVED_SOCKETS;
 use crate::shared::{ClientSlot, IoContext};
 
 impl Clients {
@@ -72,5 +72,5 @@
 /// How many connections the process may have by its limit of descriptors.
 pub(super) fn descriptor_room() -> usize {
     let limit = getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok());
-    limit.map_or(usize::MAX / 4, |limit| limit.saturating_sub(OWN_SOCKETS))
+    limit.map_or(usize::MAX / 4, |limit| limit.saturating_sub(RESERVED_SOCKETS))
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -10,14 +10,14 @@
 use serde_json::value::RawValue;
 use sparlug::event::{Condition, Listing};
 use sparlug::id::{PodId, ZoneId};
-use sparlug_setup::native::{self, Directory, LogFormat, Native};
+use sparlug_setup::native::{self, BackendSource, LogFormat, NativeConfig};
 use sparlug_setup::Setup;
 
 use crate::http::MAX_BUFFERED_MESSAGE_BYTES;
 use crate::io_failures::Cause;
-use crate::listing::{self, Entry, List};
-use crate::management::CALLS_MOST;
-use crate::starting::again;
+use crate::listing::{self, BackendEntry, BackendList};
+use crate::management::MAX_ADMIN_CONNECTIONS;
+use crate::startup::retry_transient;
 
 pub struct Config {
     pub name: String,
@@ -29,18 +29,18 @@
     pub seed: u64,
     pub budgets: Budgets,
     /// While another process lives beside it as the same proxy.
-    pub halved: Budgets,
+    pub overlap_budgets: Budgets,
     /// The list of backends as it was last had.
-    pub known: Option<List>,
+    pub initial_list: Option<BackendList>,
     pub setup: Setup,
-    pub fixed: Fixed,
+    pub immutable: ImmutableSettings,
     pub log: Option<String>,
     pub log_format: LogFormat,
 }
 
 /// Where a configuration is read, also when it is read anew.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Source {
+pub enum ConfigSource {
     /// The file that `ROUTER_CONFIG` names.
     Environment,
     File(PathBuf),
@@ -48,7 +48,7 @@
 
 /// What of a configuration can't change while the program runs.
 #[derive(Debug, PartialEq)]
-pub struct Fixed {
+pub struct ImmutableSettings {
     name: String,
     listen: SocketAddr,
     setup: String,
@@ -82,8 +82,8 @@
     }
 }
 
-pub const OWN_SOCKETS: usize = 16; // for the log, the loop, signals, the listener and discovery
-const OPERATORS_SOCKETS: usize = CALLS_MOST + 4; // where operators may call, for them and a handover besides
+pub const RESERVED_SOCKETS: usize = 16; // for the log, the loop, signals, the listener and discovery
+const OPERATORS_SOCKETS: usize = MAX_ADMIN_CONNECTIONS + 4; // where operators may call, for them and a handover besides
 const OWN_MB: usize = 6; // for the program itself
 const LEAST: usize = 6; // connections on either side, and messages, to serve at all
 
@@ -95,11 +95,11 @@
     /// To backends at the least; what callers leave free comes on top.
     pub backends: usize,
     /// Of both kinds together.
-    pub both: usize,
+    pub total: usize,
     /// To backends that may stand idle.
     pub idle: usize,
     /// Bytes of requests that are held, and again of requests that are not whole yet.
-    pub bytes: usize,
+    pub buffer_bytes: usize,
 }
 
 impl Limits {
@@ -112,7 +112,7 @@
 
     fn budgets(&self, management: bool) -> Result<Budgets, String> {
         let Limits { sockets, memory_mb } = *self;
-        let own = OWN_SOCKETS + if management { OPERATORS_SOCKETS } else { 0 };
+        let own = RESERVED_SOCKETS + if management { OPERATORS_SOCKETS } else { 0 };
         // Callers and their eighth have seven parts of eight: many of them say nothing, and a place is needed
         // for those that do. Connections hold next to no memory, messages do.
         let both = sockets.saturating_sub(own);
@@ -121,15 +121,15 @@
         if clients < LEAST || backends < LEAST || bytes < LEAST * MAX_BUFFERED_MESSAGE_BYTES {
             return Err(format!("limits of {sockets} sockets and {memory_mb} MB leave no room to serve"));
         }
-        Ok(Budgets { clients, backends, both, idle: backends * 3 / 4, bytes })
+        Ok(Budgets { clients, backends, total: both, idle: backends * 3 / 4, buffer_bytes: bytes })
     }
 }
 
-impl Source {
+impl ConfigSource {
     fn path(&self) -> Result<PathBuf, String> {
         match self {
-            Source::File(path) => Ok(path.clone()),
-            Source::Environment => {
+            ConfigSource::File(path) => Ok(path.clone()),
+            ConfigSource::Environment => {
                 let path = std::env::var_os("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
                 Ok(PathBuf::from(path))
             }
@@ -143,15 +143,15 @@
     /// The file could not be read.
     Unreadable { path: PathBuf, error: io::Error },
     /// What was read is of no use; each line is one thing that is wrong.
-    Unusable(String),
+    Invalid(String),
 }
 
 impl ConfigError {
     /// Whether the file may be of use in a moment: it could not be read, or is still being written.
-    pub fn is_momentary(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             ConfigError::Unreadable { error, .. } => Cause::of(error).is_retryable(),
-            ConfigError::Unusable(_) => true,
+            ConfigError::Invalid(_) => true,
         }
     }
 }
@@ -160,7 +160,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConfigError::Unreadable { path, error } => write!(f, "cannot read {}: {error}", path.display()),
-            ConfigError::Unusable(why) => write!(f, "{why}"),
+            ConfigError::Invalid(why) => write!(f, "{why}"),
         }
     }
 }
@@ -178,26 +178,29 @@
 }
 
 impl Config {
-    pub fn read(source: &Source) -> Result<Config, ConfigError> {
+    pub fn read(source: &ConfigSource) -> Result<Config, ConfigError> {
         Config::read_by(source, contents)
     }
 
     /// Reads the file again where that fails for a moment.
-    pub fn read_patiently(source: &Source) -> Result<Config, ConfigError> {
-        Config::read_by(source, |path| again(|| contents(path)))
+    pub fn read_with_retries(source: &ConfigSource) -> Result<Config, ConfigError> {
+        Config::read_by(source, |path| retry_transient(|| contents(path)))
     }
 
-    fn read_by(source: &Source, read: impl Fn(&Path) -> io::Result<Vec<u8>>) -> Result<Config, ConfigError> {
-        let path = source.path().map_err(ConfigError::Unusable)?;
+    fn read_by(
+        source: &ConfigSource,
+        read: impl Fn(&Path) -> io::Result<Vec<u8>>,
+    ) -> Result<Config, ConfigError> {
+        let path = source.path().map_err(ConfigError::Invalid)?;
         let text = match read(&path) {
             Ok(text) => text,
             Err(error) => return Err(ConfigError::Unreadable { path, error }),
         };
-        Config::of(&path, &text).map_err(ConfigError::Unusable)
+        Config::decode_file(&path, &text).map_err(ConfigError::Invalid)
     }
 
     /// Decodes by the name: what ends in `.toml` is in the project's own form.
-    pub fn of(path: &Path, text: &[u8]) -> Result<Config, String> {
+    pub fn decode_file(path: &Path, text: &[u8]) -> Result<Config, String> {
         if path.extension().is_none_or(|extension| extension != "toml") {
             return Config::decode(text).map_err(|e| format!("{}: {e}", path.display()));
         }
@@ -217,7 +220,7 @@
         let (name, listen, discovery) = (text.name, text.listen, Some(text.discovery));
         let management = text.management.or_else(|| std::env::var("ROUTER_MANAGEMENT").ok()?.parse().ok());
         let (known, (budgets, halved)) = (known.transpose()?, text.limits.both(management.is_some())?);
-        let fixed = Fixed::of(&name, listen, &setup);
+        let fixed = ImmutableSettings::of(&name, listen, &setup);
         let (log, log_format) = (None, LogFormat::Text);
         Ok(Config {
             name,
@@ -226,30 +229,40 @@
             management,
             seed,
             budgets,
-            halved,
-            known,
+            overlap_budgets: halved,
+            initial_list: known,
             setup,
-            fixed,
+            immutable: fixed,
             log,
             log_format,
         })
     }
 
-    fn of_native(found: Native) -> Result<Config, String> {
-        let Native { name, listen, management, seed, sockets, memory_mb, log, log_format, directory, setup } =
-            found;
+    fn of_native(found: NativeConfig) -> Result<Config, String> {
+        let NativeConfig {
+            name,
+            listen,
+            management,
+            seed,
+            sockets,
+            memory_mb,
+            log,
+            log_format,
+            backend_source: directory,
+            setup,
+        } = found;
         let (budgets, halved) = Limits { sockets, memory_mb }.both(management.is_some())?;
         // Without a seed, each start has one of its own.
         let drawn = || std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let seed = seed.unwrap_or_else(|| drawn().as_nanos() as u64 ^ u64::from(std::process::id()) << 32);
         let (discovery, known) = match directory {
-            Directory::Agent(agent) => (Some(agent), None),
-            Directory::Listed(backends) => {
+            BackendSource::Agent(agent) => (Some(agent), None),
+            BackendSource::Static(backends) => {
                 let entries = backends.into_iter().map(entry).collect();
-                (None, Some(List { version: 0, whole: true, entries }))
+                (None, Some(BackendList { version: 0, full: true, entries }))
             }
         };
-        let fixed = Fixed::of(&name, listen, &setup);
+        let fixed = ImmutableSettings::of(&name, listen, &setup);
         Ok(Config {
             name,
             listen,
@@ -257,30 +270,30 @@
             management,
             seed,
             budgets,
-            halved,
-            known,
+            overlap_budgets: halved,
+            initial_list: known,
             setup,
-            fixed,
+            immutable: fixed,
             log,
             log_format,
         })
     }
 }
 
-impl Fixed {
-    fn of(name: &str, listen: SocketAddr, setup: &Setup) -> Fixed {
-        Fixed { name: name.to_string(), listen, setup: format!("{setup:?}") }
+impl ImmutableSettings {
+    fn of(name: &str, listen: SocketAddr, setup: &Setup) -> ImmutableSettings {
+        ImmutableSettings { name: name.to_string(), listen, setup: format!("{setup:?}") }
     }
 }
 
-fn entry(backend: native::Backend) -> Entry {
+fn entry(backend: native::Backend) -> BackendEntry {
     let listing = Listing {
         backend: listing::backend_id(&backend.name),
         zone: ZoneId(backend.zone.map_or(u16::MAX, |zone| zone as u16)),
         pod: PodId(0),
-        condition: if backend.drains { Condition::Draining } else { Condition::Ready },
+        condition: if backend.draining { Condition::Draining } else { Condition::Ready },
         started: None,
         size: backend.size,
     };
-    Entry { host: backend.name, dial: backend.address, stamp: None, listing }
+    BackendEntry { host: backend.name, address: backend.address, listed_start: None, listing }
 }
--- a/crates/proxy/src/said.rs
+++ b/crates/proxy/src/control_messages.rs
@@ -6,72 +6,79 @@
 use serde::{Deserialize, Serialize};
 use sparlug::id::BackendId;
 
-use crate::listing::Handed;
+use crate::listing::HandoverList;
 
 /// Bytes of a line at the most.
-pub const LINE_MOST: usize = 4 * 1024 * 1024;
+pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     Ready,
     Metrics,
     /// Who is there, as this proxy sees it.
     Fleet,
     /// Leave a backend out, or let it serve again.
-    Bar {
+    SetBackendDisabled {
         host: String,
-        barred: bool,
+        disabled: bool,
     },
     /// Not hold a duty here, or hold it again.
-    Duty {
+    SetDutyPaused {
         name: String,
         paused: bool,
     },
 }
 
 /// The name of a backend in what is said.
-pub type Named = ([u8; 4], u16);
+pub type BackendKey = ([u8; 4], u16);
 
-pub fn named(backend: BackendId) -> Named {
+pub fn backend_key(backend: BackendId) -> BackendKey {
     (backend.address, backend.port)
 }
 
-pub fn backend(named: Named) -> BackendId {
-    BackendId { address: named.0, port: named.1 }
+pub fn backend_id(key: BackendKey) -> BackendId {
+    BackendId { address: key.0, port: key.1 }
 }
 
 /// What one process says to the other.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum HandoverMessage {
     /// The first of all, from the one that was there before.
-    State(State),
-    Bar {
-        backend: Named,
-        barred: bool,
+    State(HandoverState),
+    #[serde(rename = "Bar")]
+    SetDisabled {
+        backend: BackendKey,
+        #[serde(rename = "barred")]
+        disabled: bool,
     },
 }
 
 /// What the next process needs to go on as this one does.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
+pub struct HandoverState {
     /// Whose versions the list's are.
     pub agent: Option<SocketAddr>,
-    pub barred: Vec<Named>,
-    pub list: Option<Handed>,
+    #[serde(rename = "barred")]
+    pub disabled: Vec<BackendKey>,
+    pub list: Option<HandoverList>,
 }
 
 /// The next word in what was read, taken out of it once its line is whole.
-pub fn next(input: &mut Vec<u8>) -> Result<Option<Word>, String> {
+pub fn take_message(input: &mut Vec<u8>) -> Result<Option<HandoverMessage>, String> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-        return if input.len() > LINE_MOST { Err("a line without an end".to_string()) } else { Ok(None) };
+        return if input.len() > MAX_LINE_BYTES {
+            Err("a line without an end".to_string())
+        } else {
+            Ok(None)
+        };
     };
     let line: Vec<u8> = input.drain(..=end).collect();
     serde_json::from_slice(&line).map(Some).map_err(|e| e.to_string())
 }
 
 /// The line that says it.
-pub fn line(word: &Word) -> Vec<u8> {
+pub fn encode_line(word: &HandoverMessage) -> Vec<u8> {
     let mut line = serde_json::to_vec(word).unwrap_or_default();
     line.push(b'\n');
     line
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -6,7 +6,7 @@
 
 use crate::close_reason::Unanswered;
 use crate::io_failures::IoFailures;
-use crate::logging::lines_left_out;
+use crate::logging::dropped_lines;
 
 #[derive(Default)]
 pub struct Counters {
@@ -63,7 +63,7 @@
             }
         }
         let _ = writeln!(text, "svc.attempts:{}|c", self.attempts_sent);
-        let _ = writeln!(text, "svc.log_lines_left_out:{}|c", lines_left_out());
+        let _ = writeln!(text, "svc.log_lines_left_out:{}|c", dropped_lines());
         text + &self.closed_unanswered.report() + &self.failures.report()
     }
 
@@ -88,7 +88,7 @@
         )?;
         write!(f, "checks={} heard={} ", self.checks, self.peer_messages)?;
         write!(f, "lists={} lists_failed={} ", self.lists_received, self.lists_failed)?;
-        write!(f, "lists_odd={} log_lines_left_out={}", self.suspicious_lists, lines_left_out())?;
+        write!(f, "lists_odd={} log_lines_left_out={}", self.suspicious_lists, dropped_lines())?;
         write!(f, "{}{}", self.closed_unanswered, self.failures)?;
         let names = [
             "honoured",
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -34,7 +34,7 @@
     wait: Span,
     link: Option<BufferedStream>,
     /// Whose turn it is: an event of an earlier connection finds another number here.
-    turn: u32,
+    connection_number: u32,
     head: Option<ResponseHead>,
     asked: bool,
     /// The call went out on a connection that had brought an answer before.
@@ -64,7 +64,7 @@
             version,
             wait,
             link,
-            turn: 0,
+            connection_number: 0,
             head,
             asked: false,
             reused: false,
@@ -75,12 +75,12 @@
     }
 
     /// Whose turn it is among its connections.
-    pub fn turn(&self) -> u32 {
-        self.turn
+    pub fn connection_number(&self) -> u32 {
+        self.connection_number
     }
 
     /// The agent, and the version of the list at hand.
-    pub fn at_hand(&self) -> (Option<SocketAddr>, Option<u64>) {
+    pub fn agent_and_version(&self) -> (Option<SocketAddr>, Option<u64>) {
         (self.address, self.version)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Asks for the whole list.
-    pub fn fetch(&mut self, io: &mut IoContext) {
+    pub fn fetch_full_list(&mut self, io: &mut IoContext) {
         self.version = None;
         self.stop(io);
         self.ask(io);
@@ -100,11 +100,11 @@
 
     /// Moves the watch to another agent, if it is another one; whether it was. The new watch begins with the
     /// whole list: one agent's versions mean nothing to another. Until it has come, the old list goes on.
-    pub fn go_to(&mut self, address: Option<SocketAddr>, io: &mut IoContext) -> bool {
+    pub fn set_agent(&mut self, address: Option<SocketAddr>, io: &mut IoContext) -> bool {
         let moved = std::mem::replace(&mut self.address, address) != address;
         if moved {
             self.lost = None;
-            self.fetch(io);
+            self.fetch_full_list(io);
         }
         moved
     }
@@ -121,14 +121,23 @@
         let Some(address) = self.address else { return };
         (self.since, self.reused) = (io.now, self.link.is_some());
         if self.link.is_none() {
-            self.turn = self.turn.wrapping_add(1);
-            match BufferedStream::dial(address, &io.registry, Owner::Discovery(self.turn).token()) {
+            self.connection_number = self.connection_number.wrapping_add(1);
+            match BufferedStream::dial(
+                address,
+                &io.registry,
+                Owner::Discovery(self.connection_number).token(),
+            ) {
                 Ok(link) => self.link = Some(link),
                 Err(e) => return self.failed(&e.to_string(), io),
             }
         }
         self.asked = true;
-        tracing::trace!(version = self.version, turn = self.turn, reused = self.reused, "list asked for");
+        tracing::trace!(
+            version = self.version,
+            turn = self.connection_number,
+            reused = self.reused,
+            "list asked for"
+        );
         let query = self.version.map(|version| format!("?index={version}&wait={:.0}", self.wait.ms()));
         let wait = if query.is_some() { self.wait } else { Span::ZERO };
         let host = address;
@@ -142,14 +151,14 @@
         self.go_on(io);
     }
 
-    pub fn event(&mut self, turn: u32, io: &mut IoContext) {
-        if turn == self.turn && self.link.is_some() {
+    pub fn handle_event(&mut self, turn: u32, io: &mut IoContext) {
+        if turn == self.connection_number && self.link.is_some() {
             self.go_on(io);
         }
     }
 
     /// The answer did not come in time, or it is time for the next call.
-    pub fn due(&mut self, io: &mut IoContext) {
+    pub fn handle_timer(&mut self, io: &mut IoContext) {
         self.deadline = None;
         if self.asked {
             self.failed("no answer", io);
@@ -178,7 +187,7 @@
     fn go_on(&mut self, io: &mut IoContext) {
         self.advance(io);
         if let Some(link) = &mut self.link {
-            io.schedule_retry(link, Owner::Discovery(self.turn));
+            io.schedule_retry(link, Owner::Discovery(self.connection_number));
         }
     }
 
@@ -245,10 +254,10 @@
         };
         io.counters.lists_received += 1;
         let waited = io.now.since(self.since).ms();
-        let [ready, draining, gone] = list.counts();
+        let [ready, draining, gone] = list.condition_counts();
         tracing::debug!(
             version = list.version,
-            whole = list.whole,
+            whole = list.full,
             ready,
             draining,
             gone,
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -23,11 +23,11 @@
 
 /// What the decisions are to hear.
 #[derive(Debug, PartialEq)]
-pub enum Told {
+pub enum FleetEvent {
     /// By how many the tier is divided.
-    Counted(usize),
+    MemberCountChanged(usize),
     /// A member's words, with a number that stands for it.
-    Word(PeerId, Vec<u8>),
+    PeerMessage(PeerId, Vec<u8>),
 }
 
 struct On {
@@ -43,7 +43,7 @@
 pub struct Fleet {
     /// What it is told, if there is a fleet, and whether another process may listen beside it.
     plan: Option<(Settings, std::net::SocketAddr, bool)>,
-    duties: Option<sparlug_setup::fleet::Duties>,
+    duties: Option<sparlug_setup::fleet::DutiesSetup>,
     /// Whether another process with this one's name and address may be there.
     beside: bool,
     seed: u64,
@@ -58,7 +58,7 @@
 impl Fleet {
     /// `zone` and `instances` are those of the tier; `shared` lets the process that takes over listen as well.
     pub fn new(
-        found: Option<&sparlug_setup::fleet::Fleet>,
+        found: Option<&sparlug_setup::fleet::FleetSetup>,
         (name, zone, instances): (&str, &str, usize),
         seed: u64,
         shared: bool,
@@ -81,7 +81,7 @@
     }
 
     /// Listens and begins to look for others.
-    pub fn start(&mut self, io: &mut IoContext) -> io::Result<Vec<Told>> {
+    pub fn start(&mut self, io: &mut IoContext) -> io::Result<Vec<FleetEvent>> {
         let Some((settings, address, shared)) = self.plan.clone() else { return Ok(Vec::new()) };
         let bind = || -> io::Result<UdpSocket> {
             let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
@@ -111,7 +111,7 @@
         let duties = plan.map(|plan| Duties::new(plan, io.now));
         self.on = Some(On { members, duties, duties_wake: None, socket, wake: None, counted });
         let told = self.handle(Event::Start, io);
-        self.beside(self.beside, io);
+        self.set_overlapping(self.beside, io);
         self.see(io);
         self.duty(duties::Event::Start, io);
         Ok(told)
@@ -137,7 +137,7 @@
         }
     }
 
-    pub fn duties_due(&mut self, io: &mut IoContext) {
+    pub fn handle_duties_timer(&mut self, io: &mut IoContext) {
         if let Some(on) = &mut self.on {
             on.duties_wake = None;
         }
@@ -154,7 +154,7 @@
     }
 
     /// Whether another process with this one's name and address may be there, and vote.
-    pub fn beside(&mut self, beside: bool, io: &mut IoContext) {
+    pub fn set_overlapping(&mut self, beside: bool, io: &mut IoContext) {
         let ended = self.beside && !beside;
         self.beside = beside;
         if beside || ended {
@@ -163,7 +163,7 @@
     }
 
     /// Staff pause a duty here, or allow it again. `false`: it is none that is configured.
-    pub fn pause(&mut self, duty: &str, paused: bool, io: &mut IoContext) -> bool {
+    pub fn set_duty_paused(&mut self, duty: &str, paused: bool, io: &mut IoContext) -> bool {
         let known = self.on.as_ref().and_then(|on| on.duties.as_ref()).is_some_and(|all| all.knows(duty));
         if known {
             self.duty(duties::Event::Pause { duty, paused }, io);
@@ -171,7 +171,7 @@
         known
     }
 
-    fn handle(&mut self, event: Event, io: &mut IoContext) -> Vec<Told> {
+    fn handle(&mut self, event: Event, io: &mut IoContext) -> Vec<FleetEvent> {
         let Some(on) = &mut self.on else { return Vec::new() };
         let (mut actions, mut told, mut letters, mut changed) = (Vec::new(), Vec::new(), Vec::new(), false);
         on.members.handle(io.now, event, &mut actions);
@@ -187,14 +187,16 @@
                     on.wake = Some(io.deadlines.set(at, TimerEvent::Fleet));
                 }
                 Action::Log(text) => tracing::info!("{text}"),
-                Action::Word { from, bytes } => told.push(Told::Word(PeerId(ordinal(&from) as u16), bytes)),
+                Action::Word { from, bytes } => {
+                    told.push(FleetEvent::PeerMessage(PeerId(ordinal(&from) as u16), bytes))
+                }
                 Action::Letter(from, letter) => letters.push((from, letter)),
                 Action::Changed => {
                     changed = true;
                     let counted = on.members.counted();
                     if counted != on.counted {
                         on.counted = counted;
-                        told.push(Told::Counted(counted));
+                        told.push(FleetEvent::MemberCountChanged(counted));
                     }
                 }
             }
@@ -208,7 +210,7 @@
         told
     }
 
-    pub fn due(&mut self, io: &mut IoContext) -> Vec<Told> {
+    pub fn handle_timer(&mut self, io: &mut IoContext) -> Vec<FleetEvent> {
         if let Some(on) = &mut self.on {
             on.wake = None;
         }
@@ -216,7 +218,7 @@
     }
 
     /// What has come from others; a few at a time, so that a flood keeps nobody else waiting.
-    pub fn hear(&mut self, io: &mut IoContext) -> Vec<Told> {
+    pub fn receive(&mut self, io: &mut IoContext) -> Vec<FleetEvent> {
         let mut told = Vec::new();
         let mut buffer = [0; MOST + 1]; // a longer message is none of ours
         for _ in 0..AT_ONCE {
@@ -233,12 +235,12 @@
     }
 
     /// Whether there is a fleet to tell things.
-    pub fn is_on(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.on.is_some()
     }
 
     /// Says something to one of the members that are there, chosen by a number.
-    pub fn tell(&mut self, nth: usize, bytes: Vec<u8>, io: &mut IoContext) {
+    pub fn send_to_member(&mut self, nth: usize, bytes: Vec<u8>, io: &mut IoContext) {
         self.handle(Event::Tell { nth, bytes }, io);
     }
 
@@ -249,7 +251,7 @@
     }
 
     /// The process that took over is this member now: this one falls silent without a word.
-    pub fn yield_to_next(&mut self, io: &mut IoContext) {
+    pub fn stop_for_successor(&mut self, io: &mut IoContext) {
         self.duty(duties::Event::Leave, io);
         if let Some(mut on) = self.on.take() {
             io.deadlines.cancel(on.wake);
@@ -264,7 +266,7 @@
     }
 
     /// The view as operators read it.
-    pub fn json(&self, now: Time) -> Option<String> {
+    pub fn status_json(&self, now: Time) -> Option<String> {
         let view = self.view(now)?;
         let members = view.members.iter().map(|seen| {
             serde_json::json!({
@@ -288,7 +290,7 @@
     }
 
     /// Figures beside the others, a line each.
-    pub fn figures(&self, now: Time) -> String {
+    pub fn metrics(&self, now: Time) -> String {
         let (Some(view), Some(on)) = (self.view(now), &self.on) else { return String::new() };
         let c = on.members.counts;
         let mut text = String::new();
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -21,11 +21,11 @@
 
 use crate::acceptor::{Accepted, Acceptor};
 use crate::buffered_stream::BufferedStream;
+use crate::control_messages::{encode_line, take_message, HandoverMessage, HandoverState, MAX_LINE_BYTES};
 use crate::io_failures::Cause;
-use crate::said::{line, next, State, Word, LINE_MOST};
 use crate::shared::{HandoverSlot, HandoverTag, IoContext, Owner, ProxyEvent, TimerEvent};
 use crate::slots::Slots;
-use crate::starting::again;
+use crate::startup::retry_transient;
 
 const GREETING: &[u8] = b"sparlug-handover 1\n"; // the socket that is handed over comes with its first byte
 const PATIENCE: Duration = Duration::from_millis(1_000); // for all that is handed over
@@ -34,22 +34,22 @@
 const WAIT_PAUSE: Span = Span::from_millis(1_000); // before a socket that could not be made is tried again
 
 /// What was taken over from the process that was there before.
-pub struct Taken {
+pub struct ReceivedHandover {
     /// Its listening socket, unless it had none any more.
     pub listener: Option<TcpListener>,
-    pub state: State,
+    pub state: HandoverState,
     stream: StdUnixStream,
     rest: Vec<u8>,
 }
 
 /// Where the process that serves at an address waits for the next one.
-pub fn path(listen: SocketAddr) -> PathBuf {
+pub fn socket_path(listen: SocketAddr) -> PathBuf {
     std::env::temp_dir().join(format!("sparlug-{listen}.sock"))
 }
 
 /// Takes over from the process that is there, if there is one. It waits for a second at the most, and an error
 /// costs the start nothing.
-pub fn take_over(path: &Path, listen: SocketAddr) -> Result<Option<Taken>, String> {
+pub fn take_over(path: &Path, listen: SocketAddr) -> Result<Option<ReceivedHandover>, String> {
     let stream = match StdUnixStream::connect(path) {
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
         found => found.map_err(|e| format!("no way to the process before: {e}"))?,
@@ -69,18 +69,18 @@
     }
     let (mut rest, mut piece) = (Vec::new(), [0; 16 * 1024]);
     let state = loop {
-        match next(&mut rest)? {
-            Some(Word::State(state)) => break state,
+        match take_message(&mut rest)? {
+            Some(HandoverMessage::State(state)) => break state,
             Some(_) => return Err("the process before did not begin with its state".to_string()),
             None => {}
         }
         stream.set_read_timeout(left()).map_err(fault)?;
-        match again(|| (&stream).read(&mut piece)).map_err(fault)? {
+        match retry_transient(|| (&stream).read(&mut piece)).map_err(fault)? {
             0 => return Err("the process before ended in the handover".to_string()),
             read => rest.extend_from_slice(&piece[..read]),
         }
     };
-    Ok(Some(Taken { listener, state, stream, rest }))
+    Ok(Some(ReceivedHandover { listener, state, stream, rest }))
 }
 
 /// Whether a greeting failed in a way that may pass.
@@ -101,7 +101,8 @@
     let (mut bytes, mut read, mut found) = ([0; GREETING.len()], 0, None);
     while read < bytes.len() {
         let piece = &mut [IoSliceMut::new(&mut bytes[read..])];
-        let got = again(|| Ok(recvmsg(stream, piece, &mut beside, RecvFlags::CMSG_CLOEXEC)?.bytes))?;
+        let got =
+            retry_transient(|| Ok(recvmsg(stream, piece, &mut beside, RecvFlags::CMSG_CLOEXEC)?.bytes))?;
         for message in beside.drain() {
             if let RecvAncillaryMessage::ScmRights(sockets) = message {
                 found = sockets.into_iter().next().or(found);
@@ -184,12 +185,12 @@
     }
 
     /// Whether another process serves in this one's place, or in whose place this one does.
-    pub fn beside(&self) -> bool {
+    pub fn is_overlapping(&self) -> bool {
         self.peers.count() > 0
     }
 
     /// Whether a process came to take this one's place.
-    pub fn succeeded(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.peers.iter().any(|(_, peer)| peer.successor)
     }
 
@@ -202,8 +203,13 @@
     }
 
     /// Hands the state and the listening socket to those that have come.
-    pub fn accept(&mut self, listener: Option<impl AsFd>, state: impl Fn() -> State, io: &mut IoContext) {
-        if self.wanted && !self.succeeded() && self.acceptor.listener().is_none() {
+    pub fn accept(
+        &mut self,
+        listener: Option<impl AsFd>,
+        state: impl Fn() -> HandoverState,
+        io: &mut IoContext,
+    ) {
+        if self.wanted && !self.has_successor() && self.acceptor.listener().is_none() {
             self.wait(io);
         }
         while let Accepted::Connection(stream) = self.acceptor.accept(io) {
@@ -228,32 +234,32 @@
                 }
             }
             if let Some(slot) = self.add(stream, true, io) {
-                self.say(slot, &Word::State(state()), io);
+                self.say(slot, &HandoverMessage::State(state()), io);
                 tracing::info!(listener = sockets.is_some(), "handed over to the next process");
                 io.events.push_back(ProxyEvent::HandoverPeerChanged);
             }
         }
     }
 
-    fn say(&mut self, slot: HandoverSlot, word: &Word, io: &mut IoContext) {
+    fn say(&mut self, slot: HandoverSlot, word: &HandoverMessage, io: &mut IoContext) {
         if let Some(peer) = self.peers.get_mut(slot) {
-            peer.link.queue(&line(word));
+            peer.link.queue(&encode_line(word));
         }
-        self.event(slot, io);
+        self.handle_event(slot, io);
     }
 
     /// Tells all others.
-    pub fn tell(&mut self, word: &Word, io: &mut IoContext) {
+    pub fn broadcast(&mut self, word: &HandoverMessage, io: &mut IoContext) {
         let all: Vec<_> = self.peers.iter().map(|(slot, _)| slot).collect();
         all.into_iter().for_each(|slot| self.say(slot, word, io));
     }
 
-    pub fn event(&mut self, slot: HandoverSlot, io: &mut IoContext) {
+    pub fn handle_event(&mut self, slot: HandoverSlot, io: &mut IoContext) {
         let Some(peer) = self.peers.get_mut(slot) else { return };
         let sent = peer.link.flush();
-        let read = peer.link.fill(LINE_MOST + 1);
+        let read = peer.link.fill(MAX_LINE_BYTES + 1);
         let why = loop {
-            match next(&mut peer.link.input) {
+            match take_message(&mut peer.link.input) {
                 Ok(Some(word)) => io.events.push_back(ProxyEvent::HandoverMessage(word)),
                 Ok(None) => break sent.err().or(read.err()).map(|e| e.to_string()),
                 Err(why) => break Some(why),
@@ -270,22 +276,22 @@
         tracing::info!(successor, why, "the process beside this one is gone");
         io.events.push_back(ProxyEvent::HandoverPeerChanged);
         // The one that was to come waited in this one's place: guards against the next one finding nobody.
-        if successor && !self.succeeded() && self.acceptor.listener().is_some() {
+        if successor && !self.has_successor() && self.acceptor.listener().is_some() {
             self.wait(io);
         }
     }
 
     /// Leaves no file behind, unless it is the next process's.
-    pub fn end(&self) {
-        if self.acceptor.listener().is_some() && !self.succeeded() {
+    pub fn remove_socket(&self) {
+        if self.acceptor.listener().is_some() && !self.has_successor() {
             let _ = fs::remove_file(&self.path);
         }
     }
 }
 
-impl Taken {
+impl ReceivedHandover {
     /// The way to the process before, and what it has said already.
-    pub fn into_parts(self) -> (Option<TcpListener>, State, (StdUnixStream, Vec<u8>)) {
+    pub fn into_parts(self) -> (Option<TcpListener>, HandoverState, (StdUnixStream, Vec<u8>)) {
         (self.listener, self.state, (self.stream, self.rest))
     }
 }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -274,7 +274,7 @@
 /// A load report: a word for its form, then `name=value` between commas.
 pub fn parse_load_report(report: &str) -> Load {
     let figures = report.split([',', ' ', '\r', '\n']).filter_map(|figure| figure.split_once('='));
-    sparlug_setup::named_load(
+    sparlug_setup::load_from_named_values(
         figures.filter_map(|(name, value)| Some((name.trim(), value.trim().parse().ok()?))),
     )
 }
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -10,33 +10,34 @@
 
 /// One line of the list: what the decisions see, and where this proxy finds the backend.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct BackendEntry {
     pub host: String,
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// When its process started, by the wall clock of whoever wrote the list.
-    pub stamp: Option<Time>,
+    pub listed_start: Option<Time>,
     pub listing: Listing,
 }
 
 #[derive(Debug)]
-pub struct List {
+pub struct BackendList {
     pub version: u64,
-    pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub full: bool,
+    pub entries: Vec<BackendEntry>,
 }
 
 #[derive(Deserialize)]
 struct Text {
     seq: u64,
-    #[serde(default)]
-    whole: bool,
+    #[serde(default, rename = "whole")]
+    full: bool,
     hosts: Vec<Host>,
 }
 
 #[derive(Deserialize)]
 struct Host {
     host: String,
-    dial: SocketAddr,
+    #[serde(rename = "dial")]
+    address: SocketAddr,
     #[serde(default)]
     site: String,
     #[serde(default)]
@@ -54,21 +55,21 @@
     Gone,
 }
 
-impl List {
+impl BackendList {
     /// How many entries say that a backend is ready, that it drains, and that it is gone.
-    pub fn counts(&self) -> [usize; 3] {
+    pub fn condition_counts(&self) -> [usize; 3] {
         let of = |what| self.entries.iter().filter(|entry| entry.listing.condition == what).count();
         [of(Condition::Ready), of(Condition::Draining), of(Condition::Gone)]
     }
 
     /// What is odd about a list, for those who look after discovery. `ready` backends were known before, at
     /// `version`.
-    pub fn oddities(&self, ready: usize, version: Option<u64>) -> Vec<&'static str> {
+    pub fn anomalies(&self, ready: usize, version: Option<u64>) -> Vec<&'static str> {
         let names: BTreeSet<_> = self.entries.iter().map(|entry| &entry.host).collect();
-        let unknown = |entry: &Entry| entry.listing.zone == ZoneId(u16::MAX);
+        let unknown = |entry: &BackendEntry| entry.listing.zone == ZoneId(u16::MAX);
         let found = [
-            (self.empties(ready), "no backend at all, the last list is kept"),
-            (self.whole && names.len() * 2 < ready && !names.is_empty(), "less than half of the backends"),
+            (self.is_suspiciously_empty(ready), "no backend at all, the last list is kept"),
+            (self.full && names.len() * 2 < ready && !names.is_empty(), "less than half of the backends"),
             (names.len() < self.entries.len(), "a backend twice, the last one counts"),
             (self.entries.iter().any(unknown), "a zone that the settings do not name"),
             (version.is_some_and(|version| self.version < version), "an older version than the one at hand"),
@@ -78,8 +79,8 @@
 
     /// Guards against a discovery that lost its memory taking every backend away at once: a whole list without any
     /// is not believed. What is named as going, or left out beside others, goes at once.
-    pub fn empties(&self, ready: usize) -> bool {
-        self.whole && self.entries.is_empty() && ready > 0
+    pub fn is_suspiciously_empty(&self, ready: usize) -> bool {
+        self.full && self.entries.is_empty() && ready > 0
     }
 }
 
@@ -92,7 +93,7 @@
     BackendId { address: [a, b, c, d], port: u16::from_be_bytes([e ^ g, f ^ h]) }
 }
 
-pub fn decode(text: &[u8], zones: &[String]) -> Result<List, String> {
+pub fn decode(text: &[u8], zones: &[String]) -> Result<BackendList, String> {
     let text: Text = serde_json::from_slice(text).map_err(|e| format!("list of backends: {e}"))?;
     let entry = |host: Host| {
         let zone = zones.iter().position(|zone| *zone == host.site);
@@ -108,49 +109,55 @@
             started: Some(host.born_ms).filter(|ms| *ms > 0.0).map(Time::from_ms),
             size: host.share.filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0),
         };
-        Entry { host: host.host, dial: host.dial, stamp: listing.started, listing }
+        BackendEntry { host: host.host, address: host.address, listed_start: listing.started, listing }
     };
-    Ok(List { version: text.seq, whole: text.whole, entries: text.hosts.into_iter().map(entry).collect() })
+    Ok(BackendList {
+        version: text.seq,
+        full: text.full,
+        entries: text.hosts.into_iter().map(entry).collect(),
+    })
 }
 
 /// A list as one process hands it to the next: what is left of all that it was told.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct HandoverList {
     pub version: u64,
-    pub hosts: Vec<HandedHost>,
+    pub hosts: Vec<HandoverHost>,
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct HandedHost {
+pub struct HandoverHost {
     host: String,
-    dial: SocketAddr,
+    #[serde(rename = "dial")]
+    address: SocketAddr,
     zone: u16,
     pod: u16,
-    drains: bool,
+    #[serde(rename = "drains")]
+    draining: bool,
     size: f64,
     started_ms: Option<f64>,
 }
 
-impl HandedHost {
-    pub fn of(entry: &Entry) -> HandedHost {
+impl HandoverHost {
+    pub fn from_entry(entry: &BackendEntry) -> HandoverHost {
         let Listing { zone, pod, condition, size, .. } = entry.listing;
-        let (host, drains) = (entry.host.clone(), condition == Condition::Draining);
-        let started_ms = entry.stamp.map(|started| started.since(Time::ORIGIN).ms());
-        HandedHost { host, dial: entry.dial, zone: zone.0, pod: pod.0, drains, size, started_ms }
+        let (host, draining) = (entry.host.clone(), condition == Condition::Draining);
+        let started_ms = entry.listed_start.map(|started| started.since(Time::ORIGIN).ms());
+        HandoverHost { host, address: entry.address, zone: zone.0, pod: pod.0, draining, size, started_ms }
     }
 
-    fn entry(self) -> Entry {
-        let HandedHost { host, dial, zone, pod, drains, size, started_ms } = self;
-        let condition = if drains { Condition::Draining } else { Condition::Ready };
+    fn into_entry(self) -> BackendEntry {
+        let HandoverHost { host, address, zone, pod, draining, size, started_ms } = self;
+        let condition = if draining { Condition::Draining } else { Condition::Ready };
         let (backend, started) = (backend_id(&host), started_ms.map(Time::from_ms));
         let listing = Listing { backend, zone: ZoneId(zone), pod: PodId(pod), condition, started, size };
-        Entry { host, dial, stamp: started, listing }
+        BackendEntry { host, address, listed_start: started, listing }
     }
 }
 
-impl Handed {
-    pub fn list(self) -> List {
-        let entries = self.hosts.into_iter().map(HandedHost::entry).collect();
-        List { version: self.version, whole: true, entries }
+impl HandoverList {
+    pub fn into_list(self) -> BackendList {
+        let entries = self.hosts.into_iter().map(HandoverHost::into_entry).collect();
+        BackendList { version: self.version, full: true, entries }
     }
 }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -14,7 +14,7 @@
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 
 /// Lines of the log that were left out, whole or in part.
-pub fn lines_left_out() -> u64 {
+pub fn dropped_lines() -> u64 {
     LEFT_OUT.load(Ordering::Relaxed)
 }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,7 +3,7 @@
 
 use std::process::ExitCode;
 
-use sparlug_proxy::config::{Config, Source};
+use sparlug_proxy::config::{Config, ConfigSource};
 use sparlug_proxy::logging::LogWriter;
 use sparlug_proxy::proxy::Proxy;
 use sparlug_proxy::signals::SignalQueue;
@@ -24,10 +24,10 @@
 
 fn main() -> ExitCode {
     // First of all: guards against a signal that comes before the program is up and ends it.
-    let served = SignalQueue::hear().and_then(|signals| {
+    let served = SignalQueue::install().and_then(|signals| {
         log();
-        let config = Config::read_patiently(&Source::Environment).map_err(|e| e.to_string())?;
-        Proxy::new(config, Source::Environment, signals)?.run().map_err(|e| format!("cannot poll: {e}"))
+        let config = Config::read_with_retries(&ConfigSource::Environment).map_err(|e| e.to_string())?;
+        Proxy::new(config, ConfigSource::Environment, signals)?.run().map_err(|e| format!("cannot poll: {e}"))
     });
     match served {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/management.rs
@@ -9,15 +9,15 @@
 
 use crate::acceptor::{Accepted, Acceptor};
 use crate::buffered_stream::BufferedStream;
+use crate::control_messages::AdminRequest;
 use crate::deadlines::DeadlineId;
 use crate::http::{self, HttpError, ADMIN_METHODS};
-use crate::said::Call;
 use crate::shared::{AdminSlot, AdminTag, IoContext, Owner, ProxyEvent, TimerEvent};
 use crate::slots::Slots;
-use crate::starting::again;
+use crate::startup::retry_transient;
 
 /// Connections of operators at a time. Guards against those that say nothing using up the descriptors.
-pub const CALLS_MOST: usize = 8;
+pub const MAX_ADMIN_CONNECTIONS: usize = 8;
 const CALL_TIME: Span = Span::from_millis(6_000); // for a call to come, and its answer to be taken
 const CALL_BYTES: usize = http::MAX_HEAD_BYTES;
 
@@ -29,7 +29,7 @@
     called: bool,
 }
 
-pub struct Management {
+pub struct ManagementServer {
     acceptor: Acceptor,
     callers: Slots<AdminTag, Caller>,
 }
@@ -37,15 +37,16 @@
 /// A call with what it was answered, where no more is needed to answer it.
 type Refusal = (u16, &'static str, &'static str);
 
-impl Management {
+impl ManagementServer {
     /// Listens at an address, if there is one.
-    pub fn new(address: Option<SocketAddr>, io: &IoContext) -> Result<Management, String> {
+    pub fn new(address: Option<SocketAddr>, io: &IoContext) -> Result<ManagementServer, String> {
         let listen =
             |address| Acceptor::register(TcpListener::bind(address)?, Owner::Management, &io.registry);
         let fault = |e: std::io::Error| format!("cannot listen for operators on {address:?}: {e}");
-        let acceptor = address.map(|address| again(|| listen(address))).transpose().map_err(fault)?;
+        let acceptor =
+            address.map(|address| retry_transient(|| listen(address))).transpose().map_err(fault)?;
         let acceptor = acceptor.unwrap_or_else(|| Acceptor::new(None, Owner::Management));
-        Ok(Management { acceptor, callers: Slots::default() })
+        Ok(ManagementServer { acceptor, callers: Slots::default() })
     }
 
     pub fn address(&self) -> Option<SocketAddr> {
@@ -54,7 +55,7 @@
 
     pub fn accept(&mut self, io: &mut IoContext) {
         while let Accepted::Connection(stream) = self.acceptor.accept(io) {
-            while self.callers.count() >= CALLS_MOST {
+            while self.callers.count() >= MAX_ADMIN_CONNECTIONS {
                 // Guards against callers that never come to their call keeping others from theirs.
                 let oldest = self.callers.iter().min_by_key(|(_, caller)| (!caller.called, caller.since));
                 let Some(slot) = oldest.map(|(slot, _)| slot) else { break };
@@ -68,12 +69,12 @@
                 Some(Caller { link, since: now, deadline, called: false })
             });
             if let Some(slot) = slot {
-                self.event(slot, io);
+                self.handle_event(slot, io);
             }
         }
     }
 
-    pub fn event(&mut self, slot: AdminSlot, io: &mut IoContext) {
+    pub fn handle_event(&mut self, slot: AdminSlot, io: &mut IoContext) {
         self.go_on(slot, io);
         if let Some(caller) = self.callers.get_mut(slot) {
             io.schedule_retry(&mut caller.link, Owner::Call(slot));
@@ -97,25 +98,25 @@
             return;
         }
         match parse(&caller.link.input) {
-            Err((status, lines, body)) => self.answer(slot, status, lines, body, io),
+            Err((status, lines, body)) => self.respond(slot, status, lines, body, io),
             Ok(Some(call)) => {
                 caller.called = true;
                 io.events.push_back(ProxyEvent::AdminRequestReceived(slot, call));
             }
             Ok(None) if caller.link.ended || read.is_err() => self.close(slot, io),
             Ok(None) if caller.link.input.len() >= CALL_BYTES => {
-                self.answer(slot, 413, "", "a call has no body\n", io)
+                self.respond(slot, 413, "", "a call has no body\n", io)
             }
             Ok(None) => {}
         }
     }
 
     /// Writes the answer to a call, and with it the end of the connection.
-    pub fn answer(&mut self, slot: AdminSlot, status: u16, lines: &str, body: &str, io: &mut IoContext) {
+    pub fn respond(&mut self, slot: AdminSlot, status: u16, lines: &str, body: &str, io: &mut IoContext) {
         let Some(caller) = self.callers.get_mut(slot) else { return };
         caller.called = true;
         caller.link.queue(&http::build_response(status, &format!("{lines}Connection: close\r\n"), body));
-        self.event(slot, io);
+        self.handle_event(slot, io);
     }
 
     pub fn close(&mut self, slot: AdminSlot, io: &mut IoContext) {
@@ -130,7 +131,7 @@
                      PUT /fleet/duties/pause/NAME or resume\n";
 
 /// What a call asks for, once it is whole; or the answer that it gets for being none.
-fn parse(bytes: &[u8]) -> Result<Option<Call>, Refusal> {
+fn parse(bytes: &[u8]) -> Result<Option<AdminRequest>, Refusal> {
     let refusal = |bad: HttpError| match bad {
         HttpError::Method => (405, "Allow: GET, PUT\r\n", CALLS),
         bad => (bad.status(), "", "no HTTP/1.1 call that can be read\n"),
@@ -144,20 +145,24 @@
     }
     let bar = |id: &str, barred| {
         let host = percent_decode_str(id).decode_utf8().map_err(|_| refusal(HttpError::Malformed))?;
-        Ok(("PUT", Call::Bar { host: host.into_owned(), barred }))
+        Ok(("PUT", AdminRequest::SetBackendDisabled { host: host.into_owned(), disabled: barred }))
     };
     let (method, call) = match head.path.as_str() {
-        "/ready" => ("GET", Call::Ready),
-        "/metrics" => ("GET", Call::Metrics),
-        "/fleet" => ("GET", Call::Fleet),
+        "/ready" => ("GET", AdminRequest::Ready),
+        "/metrics" => ("GET", AdminRequest::Metrics),
+        "/fleet" => ("GET", AdminRequest::Fleet),
         path => match (path.strip_prefix("/backends/disable/"), path.strip_prefix("/backends/enable/")) {
             (Some(id), _) => bar(id, true)?,
             (_, Some(id)) => bar(id, false)?,
             _ if path.starts_with("/fleet/duties/") => {
                 let rest = path.strip_prefix("/fleet/duties/").and_then(|rest| rest.split_once('/'));
                 match rest {
-                    Some(("pause", name)) => ("PUT", Call::Duty { name: name.to_string(), paused: true }),
-                    Some(("resume", name)) => ("PUT", Call::Duty { name: name.to_string(), paused: false }),
+                    Some(("pause", name)) => {
+                        ("PUT", AdminRequest::SetDutyPaused { name: name.to_string(), paused: true })
+                    }
+                    Some(("resume", name)) => {
+                        ("PUT", AdminRequest::SetDutyPaused { name: name.to_string(), paused: false })
+                    }
                     _ => return Err((404, "", "no such call\n")),
                 }
             }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -11,7 +11,7 @@
 use sparlug::peer_message::MAX_MESSAGE_BYTES;
 
 use crate::shared::{IoContext, Owner};
-use crate::starting::again;
+use crate::startup::retry_transient;
 
 /// How many are read before others have their turn; the loop comes back for the rest.
 const AT_ONCE: usize = 64;
@@ -36,17 +36,18 @@
             io.registry.register(&mut socket, Owner::Peers.token(), Interest::READABLE)?;
             Ok(socket)
         };
-        let socket = again(bind).map_err(|e| format!("cannot listen for peers on {address}: {e}"))?;
+        let socket =
+            retry_transient(bind).map_err(|e| format!("cannot listen for peers on {address}: {e}"))?;
         Ok(Peers { all, own, socket: Some(socket) })
     }
 
     /// Whether there is anybody to tell.
-    pub fn any(&self) -> bool {
+    pub fn has_peers(&self) -> bool {
         self.socket.is_some() && self.all.len() > 1
     }
 
     /// Sends to one, or to all others. What can't be sent now is lost.
-    pub fn tell(&self, to: Option<PeerId>, bytes: &[u8]) {
+    pub fn send(&self, to: Option<PeerId>, bytes: &[u8]) {
         let Some(socket) = &self.socket else { return };
         let wanted = |place: &usize| *place != self.own && to.is_none_or(|to| usize::from(to.0) == *place);
         for place in (0..self.all.len()).filter(wanted) {
@@ -57,7 +58,7 @@
     }
 
     /// What has come from peers, and whether more may be there.
-    pub fn heard(&self) -> (Vec<(PeerId, Vec<u8>)>, bool) {
+    pub fn receive(&self) -> (Vec<(PeerId, Vec<u8>)>, bool) {
         let mut heard = Vec::new();
         let Some(socket) = &self.socket else { return (heard, false) };
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1]; // a longer message is none of ours
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -15,7 +15,7 @@
 use crate::connect_timeout::{ConnectHistory, ConnectTimeout};
 use crate::http::MAX_BUFFERED_MESSAGE_BYTES;
 use crate::io_failures::{Cause, SystemCall};
-use crate::listing::{Entry, HandedHost};
+use crate::listing::{BackendEntry, HandoverHost};
 use crate::shared::{
     ConnSlot, ConnTag, IoContext, JobResult, Owner, ProxyEvent, Purpose, StartedResponse, TimerEvent,
 };
@@ -120,11 +120,16 @@
     }
 
     /// The list as it is at hand, for the process that takes this one's place.
-    pub fn current_list(&self) -> Vec<HandedHost> {
+    pub fn current_list(&self) -> Vec<HandoverHost> {
         let listed = self.places.values().filter(|place| place.listing.condition != Condition::Gone);
         let entry = |place: &Place| {
             let (host, dial, stamp) = (place.host.clone(), place.life.dial, place.stamp);
-            HandedHost::of(&Entry { host, dial, stamp, listing: place.listing })
+            HandoverHost::from_entry(&BackendEntry {
+                host,
+                address: dial,
+                listed_start: stamp,
+                listing: place.listing,
+            })
         };
         listed.map(entry).collect()
     }
@@ -139,11 +144,11 @@
     }
 
     /// Takes in a change of the list.
-    pub fn update_list(&mut self, whole: bool, entries: &[Entry], io: &mut IoContext) {
+    pub fn update_list(&mut self, whole: bool, entries: &[BackendEntry], io: &mut IoContext) {
         if whole {
             self.places.values_mut().for_each(|place| place.listing.condition = Condition::Gone);
         }
-        for Entry { host, dial, stamp, listing } in entries {
+        for BackendEntry { host, address: dial, listed_start: stamp, listing } in entries {
             let life = Life { dial: *dial, started: listing.started };
             let place = self.places.entry(listing.backend).or_insert_with(|| {
                 tracing::info!(host, %dial, "listed");
@@ -231,7 +236,7 @@
         };
         let life = *life;
         if self.conns.count()
-            >= self.budgets.backends.max(self.budgets.both.saturating_sub(io.client_connections))
+            >= self.budgets.backends.max(self.budgets.total.saturating_sub(io.client_connections))
         {
             // The connection that was idle for longest makes room.
             let oldest = self.standing.first().map(|(_, slot)| *slot);
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -15,18 +15,18 @@
 use sparlug::time::{Span, Time};
 
 use crate::clients::{Classes, Clients};
-use crate::config::{Budgets, Config, Fixed, Source, OWN_SOCKETS};
+use crate::config::{Budgets, Config, ConfigSource, ImmutableSettings, RESERVED_SOCKETS};
+use crate::control_messages::{self, AdminRequest, HandoverMessage, HandoverState};
 use crate::counters::Counters;
 use crate::deadlines::{Clock, DeadlineId, Deadlines};
 use crate::discovery::Discovery;
-use crate::fleet::{self, Fleet, Told};
+use crate::fleet::{self, Fleet, FleetEvent};
 use crate::handover::{self, Handover};
 use crate::http::ResponseHead;
-use crate::listing::{backend_id, Handed, List};
-use crate::management::Management;
+use crate::listing::{backend_id, BackendList, HandoverList};
+use crate::management::ManagementServer;
 use crate::peers::Peers;
 use crate::pool::Pool;
-use crate::said::{self, Call, State, Word};
 use crate::shared::{
     AdminSlot, ClientSlot, ConnSlot, IncomingRequest, IoContext, Owner, ProxyEvent, RequestSlot, RequestTag,
     TimerEvent,
@@ -34,7 +34,7 @@
 use crate::signals::SignalQueue;
 use crate::slots::Slots;
 use crate::start_times::StartTimes;
-use crate::starting::again;
+use crate::startup::retry_transient;
 
 mod lifecycle;
 mod requests;
@@ -103,7 +103,7 @@
     pool: Pool,
     discovery: Discovery,
     start_times: StartTimes,
-    management: Management,
+    management: ManagementServer,
     handover: Handover,
     peers: Peers,
     fleet: Fleet,
@@ -115,8 +115,8 @@
     check_path: &'static str,
     longest: Span,
     /// What can't change while it runs, to say so when a new configuration differs.
-    fixed: Fixed,
-    source: Source,
+    fixed: ImmutableSettings,
+    source: ConfigSource,
     /// Since when it is going down.
     leaving: Option<Time>,
     /// When it was told to read its configuration anew, until it has.
@@ -155,30 +155,31 @@
 
 impl Proxy {
     /// `source` is where the configuration came from, to be read again on SIGHUP.
-    pub fn new(config: Config, source: Source, mut signals: SignalQueue) -> Result<Proxy, String> {
-        let poll = again(Poll::new).map_err(|e| format!("cannot poll: {e}"))?;
-        let registry = again(|| poll.registry().try_clone()).map_err(|e| format!("cannot poll: {e}"))?;
-        again(|| signals.watch(&registry)).map_err(|e| format!("cannot hear signals: {e}"))?;
+    pub fn new(config: Config, source: ConfigSource, mut signals: SignalQueue) -> Result<Proxy, String> {
+        let poll = retry_transient(Poll::new).map_err(|e| format!("cannot poll: {e}"))?;
+        let registry =
+            retry_transient(|| poll.registry().try_clone()).map_err(|e| format!("cannot poll: {e}"))?;
+        retry_transient(|| signals.register(&registry)).map_err(|e| format!("cannot hear signals: {e}"))?;
         // An address that is only found at the start is no name to be found by.
         let managed = config.management.is_some();
-        let (path, wanted) = (handover::path(config.listen), managed && config.listen.port() != 0);
+        let (path, wanted) = (handover::socket_path(config.listen), managed && config.listen.port() != 0);
         let taken = if wanted { handover::take_over(&path, config.listen) } else { Ok(None) };
         let taken = taken.unwrap_or_else(|why| {
             tracing::warn!(why, "starting without what the process before had");
             None
         });
-        let (handed, state, before) = taken.map(handover::Taken::into_parts).map_or_else(
-            || (None, State::default(), None),
+        let (handed, state, before) = taken.map(handover::ReceivedHandover::into_parts).map_or_else(
+            || (None, HandoverState::default(), None),
             |(listener, state, before)| (listener, state, Some(before)),
         );
         let joined = handed.is_some();
-        let listener = again(|| listen(&config, handed.as_ref(), managed, &registry));
+        let listener = retry_transient(|| listen(&config, handed.as_ref(), managed, &registry));
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
 
         let clock = Clock::start();
         let (now, deadlines, counters) = (clock.now(), Deadlines::default(), Counters::default());
         let (client_connections, backend_connections, events) = Default::default();
-        let (streaming_requests, streaming_bytes) = (0, config.budgets.bytes / 2);
+        let (streaming_requests, streaming_bytes) = (0, config.budgets.buffer_bytes / 2);
         let mut io = IoContext {
             registry,
             now,
@@ -191,14 +192,14 @@
             streaming_requests,
             streaming_bytes,
         };
-        let management = Management::new(config.management, &io)?;
+        let management = ManagementServer::new(config.management, &io)?;
         let handover = Handover::new(path, wanted, before, &mut io);
-        let budgets = [config.budgets, config.halved];
-        let now_budgets = budgets[usize::from(handover.beside())];
+        let budgets = [config.budgets, config.overlap_budgets];
+        let now_budgets = budgets[usize::from(handover.is_overlapping())];
         let mut setup = config.setup;
-        let peers = Peers::new(setup.peers, setup.settings.ordinal, managed, &io)?;
+        let peers = Peers::new(setup.peer_addresses, setup.settings.ordinal, managed, &io)?;
         // Nothing is said where nobody's address is known.
-        setup.settings.peer_messages &= peers.any() || setup.fleet.is_some();
+        setup.settings.peer_messages &= peers.has_peers() || setup.fleet.is_some();
         let zone = setup.zone_names.get(usize::from(setup.settings.zone.0)).map_or("", String::as_str);
         let about = (config.name.as_str(), zone, setup.settings.instances);
         let fleet = Fleet::new(setup.fleet.as_ref(), about, config.seed, managed);
@@ -215,17 +216,22 @@
         let (names, tenants) = (setup.class_names, setup.tenant_names);
         let classes = Classes { names, deadlines, methods, tenants };
         let clients = Clients::new(Some(listener), joined, classes, now_budgets);
-        let pool = Pool::new(now_budgets, setup.dial, setup.idle);
+        let pool = Pool::new(now_budgets, setup.connect_timeout, setup.backend_idle_timeout);
         // Versions are an agent's own; of two lists of one agent the newer one counts.
-        let handed = state.list.filter(|_| state.agent == config.discovery).map(Handed::list);
-        let newer = |list: &List| config.known.as_ref().is_none_or(|known| known.version <= list.version);
-        let known = handed.filter(newer).or(config.known);
+        let handed = state.list.filter(|_| state.agent == config.discovery).map(HandoverList::into_list);
+        let newer = |list: &BackendList| {
+            config.initial_list.as_ref().is_none_or(|known| known.version <= list.version)
+        };
+        let known = handed.filter(newer).or(config.initial_list);
         let version = known.as_ref().map(|known| known.version);
         let chance = f64::from(Rand32::new(config.seed).rand_float());
         let pushed = !setup.settings.list_on_request;
         let discovery = Discovery::new(config.discovery, pushed, setup.zone_names, version, chance);
-        let check_path =
-            if setup.columns.held.or(setup.columns.waiting).is_some() { "/status/load" } else { "/health" };
+        let check_path = if setup.load_columns.in_flight.or(setup.load_columns.queued).is_some() {
+            "/status/load"
+        } else {
+            "/health"
+        };
         if let Some(known) = known {
             io.events.push_back(ProxyEvent::ListReceived(known, None));
         }
@@ -254,7 +260,7 @@
             budgets,
             check_path,
             longest,
-            fixed: config.fixed,
+            fixed: config.immutable,
             source,
             leaving,
             reload_since: None,
@@ -265,14 +271,14 @@
         };
         proxy.carry_out();
         proxy.pump();
-        for barred in state.barred {
-            proxy.bar(said::backend(barred), true);
+        for barred in state.disabled {
+            proxy.bar(control_messages::backend_id(barred), true);
         }
         if pushed {
             proxy.discovery.watch(&mut proxy.io);
         }
-        proxy.fleet.beside(proxy.handover.beside(), &mut proxy.io);
-        let told = again(|| proxy.fleet.start(&mut proxy.io));
+        proxy.fleet.set_overlapping(proxy.handover.is_overlapping(), &mut proxy.io);
+        let told = retry_transient(|| proxy.fleet.start(&mut proxy.io));
         let told = told.map_err(|e| format!("cannot listen for the fleet on {fleet_address:?}: {e}"))?;
         proxy.told(told);
         let listen = proxy.clients.address().unwrap_or(config.listen);
@@ -286,9 +292,9 @@
     /// Serves until it is told to go and all is answered.
     pub fn run(mut self) -> io::Result<()> {
         // All descriptors at once: guards against one's end waiting in the kernel behind a flood of others.
-        let mut events = Events::with_capacity(self.budgets[0].both + OWN_SOCKETS);
+        let mut events = Events::with_capacity(self.budgets[0].total + RESERVED_SOCKETS);
         while !self.done() {
-            if self.signals.has_come() {
+            if self.signals.has_pending() {
                 self.signalled();
                 self.pump();
             }
@@ -328,7 +334,7 @@
                 self.pump();
             }
         }
-        self.handover.end();
+        self.handover.remove_socket();
         tracing::info!(counters = %self.io.counters, "gone");
         Ok(())
     }
@@ -357,13 +363,13 @@
         match owner {
             Owner::Listener => self.clients.accept(&mut self.io),
             Owner::Signals => self.signalled(),
-            Owner::Discovery(turn) => self.discovery.event(turn, &mut self.io),
+            Owner::Discovery(turn) => self.discovery.handle_event(turn, &mut self.io),
             Owner::Client(slot) => self.clients.event(slot, &mut self.io),
             Owner::Conn(slot) => self.pool.handle_ready(slot, &mut self.io),
             Owner::Management => self.management.accept(&mut self.io),
-            Owner::Call(slot) => self.management.event(slot, &mut self.io),
+            Owner::Call(slot) => self.management.handle_event(slot, &mut self.io),
             Owner::Handover => self.hand_over(),
-            Owner::Peer(slot) => self.handover.event(slot, &mut self.io),
+            Owner::Peer(slot) => self.handover.handle_event(slot, &mut self.io),
             Owner::Peers => self.hear(),
             Owner::Fleet => self.fleet_hear(),
         }
@@ -380,22 +386,22 @@
             TimerEvent::StartStreaming(slot) => self.pool.start_streaming_due(slot, &mut self.io),
             TimerEvent::AttemptTimeout(slot) => self.pool.attempt_timed_out(slot, &mut self.io),
             TimerEvent::IdleTimeout(slot) => self.pool.idle_timed_out(slot, &mut self.io),
-            TimerEvent::Discovery => self.discovery.due(&mut self.io),
+            TimerEvent::Discovery => self.discovery.handle_timer(&mut self.io),
             TimerEvent::Shutdown => self.leave(),
             TimerEvent::Reload => self.reload(),
             TimerEvent::AdminTimeout(slot) => self.management.close(slot, &mut self.io),
             TimerEvent::Fleet => {
-                let told = self.fleet.due(&mut self.io);
+                let told = self.fleet.handle_timer(&mut self.io);
                 self.told(told);
             }
             TimerEvent::JoinFleet => self.share_fleet(),
-            TimerEvent::Duties => self.fleet.duties_due(&mut self.io),
+            TimerEvent::Duties => self.fleet.handle_duties_timer(&mut self.io),
         }
     }
 
     /// What peers say; a few at a time, so that a flood of it keeps nobody else waiting.
     fn hear(&mut self) {
-        let (heard, more) = self.peers.heard();
+        let (heard, more) = self.peers.receive();
         for (from, bytes) in heard {
             self.io.counters.peer_messages += 1;
             self.decide(Event::PeerMessage { from, bytes });
@@ -406,18 +412,18 @@
     }
 
     fn fleet_hear(&mut self) {
-        let told = self.fleet.hear(&mut self.io);
+        let told = self.fleet.receive(&mut self.io);
         self.told(told);
     }
 
     /// What the fleet comes to for the decisions.
-    fn told(&mut self, told: Vec<Told>) {
+    fn told(&mut self, told: Vec<FleetEvent>) {
         for told in told {
             match told {
-                Told::Counted(instances) => {
+                FleetEvent::MemberCountChanged(instances) => {
                     self.decide(Event::InstancesChanged { instances, ordinal: self.ordinal })
                 }
-                Told::Word(from, bytes) => {
+                FleetEvent::PeerMessage(from, bytes) => {
                     self.io.counters.peer_messages += 1;
                     self.decide(Event::PeerMessage { from, bytes });
                 }
@@ -427,10 +433,10 @@
 
     /// One member and not two: while the next process is there, it is the one.
     fn share_fleet(&mut self) {
-        self.fleet.beside(self.handover.beside(), &mut self.io);
-        if self.handover.succeeded() {
-            self.fleet.yield_to_next(&mut self.io);
-        } else if !self.fleet.is_on() && self.leaving.is_none() {
+        self.fleet.set_overlapping(self.handover.is_overlapping(), &mut self.io);
+        if self.handover.has_successor() {
+            self.fleet.stop_for_successor(&mut self.io);
+        } else if !self.fleet.is_running() && self.leaving.is_none() {
             match self.fleet.start(&mut self.io) {
                 Ok(told) => self.told(told),
                 Err(error) => {
@@ -459,31 +465,31 @@
                     self.share();
                     self.share_fleet();
                 }
-                ProxyEvent::HandoverMessage(Word::Bar { backend, barred }) => {
-                    self.bar(said::backend(backend), barred)
+                ProxyEvent::HandoverMessage(HandoverMessage::SetDisabled { backend, disabled: barred }) => {
+                    self.bar(control_messages::backend_id(backend), barred)
                 }
-                ProxyEvent::HandoverMessage(Word::State(_)) => {}
+                ProxyEvent::HandoverMessage(HandoverMessage::State(_)) => {}
             }
         }
     }
 
-    fn called(&mut self, slot: AdminSlot, call: Call) {
+    fn called(&mut self, slot: AdminSlot, call: AdminRequest) {
         let (status, text) = match call {
-            Call::Ready if self.clients.ready && self.leaving.is_none() => (200, String::new()),
-            Call::Ready => (503, String::new()),
-            Call::Metrics => (200, self.figures()),
-            Call::Duty { name, paused } => {
-                if self.fleet.pause(&name, paused, &mut self.io) {
+            AdminRequest::Ready if self.clients.ready && self.leaving.is_none() => (200, String::new()),
+            AdminRequest::Ready => (503, String::new()),
+            AdminRequest::Metrics => (200, self.figures()),
+            AdminRequest::SetDutyPaused { name, paused } => {
+                if self.fleet.set_duty_paused(&name, paused, &mut self.io) {
                     (200, String::new())
                 } else {
                     (404, format!("no duty {name} is configured here\n"))
                 }
             }
-            Call::Fleet => match self.fleet.json(self.io.now) {
+            AdminRequest::Fleet => match self.fleet.status_json(self.io.now) {
                 Some(json) => (200, json),
                 None => (404, "no fleet is configured, or the next process is its member\n".to_string()),
             },
-            Call::Bar { host, barred } => {
+            AdminRequest::SetBackendDisabled { host, disabled: barred } => {
                 let backend = backend_id(&host);
                 let out = self.balancer.disabled().any(|out| out == backend);
                 if out || self.pool.is_listed(backend) {
@@ -494,7 +500,7 @@
                 }
             }
         };
-        self.management.answer(slot, status, "", &text, &mut self.io);
+        self.management.respond(slot, status, "", &text, &mut self.io);
     }
 
     fn figures(&self) -> String {
@@ -502,7 +508,7 @@
         let corrected = self.start_times.corrected;
         let (in_flight, known) = (self.clients.in_flight(), self.pool.listed_count());
         let out = self.balancer.excluded_count();
-        let (fleet, clients) = (self.fleet.figures(self.io.now), self.clients.report());
+        let (fleet, clients) = (self.fleet.metrics(self.io.now), self.clients.report());
         format!("{counts}{fleet}{clients}svc.in_flight:{in_flight}|g\nsvc.backends_known:{known}|g\nsvc.backends_excluded:{out}|g\nsvc.start_times_corrected:{corrected}|c\n")
     }
 
@@ -513,18 +519,21 @@
         }
         tracing::info!(host = self.pool.host(backend), barred, "told by hand");
         self.decide(Event::SetDisabled { backend, disabled: barred });
-        let word = Word::Bar { backend: said::named(backend), barred };
-        self.handover.tell(&word, &mut self.io);
+        let word = HandoverMessage::SetDisabled {
+            backend: control_messages::backend_key(backend),
+            disabled: barred,
+        };
+        self.handover.broadcast(&word, &mut self.io);
     }
 
-    fn listed(&mut self, mut list: List, before: Option<u64>) {
+    fn listed(&mut self, mut list: BackendList, before: Option<u64>) {
         let ready = self.pool.ready_count();
-        let odd = list.oddities(ready, before);
+        let odd = list.anomalies(ready, before);
         if !odd.is_empty() {
             self.io.counters.suspicious_lists += 1;
             tracing::warn!(version = list.version, ready, "odd list: {}", odd.join("; "));
         }
-        if list.empties(ready) {
+        if list.is_suspiciously_empty(ready) {
             return;
         }
         self.start_times.correct(&mut list, self.io.now);
@@ -532,8 +541,8 @@
         if !listings.is_empty() {
             self.clients.set_ready(&mut self.io);
         }
-        self.pool.update_list(list.whole, &list.entries, &mut self.io);
-        self.decide(Event::ListReceived { full: list.whole, listings });
+        self.pool.update_list(list.full, &list.entries, &mut self.io);
+        self.decide(Event::ListReceived { full: list.full, listings });
     }
 
     fn decide(&mut self, event: Event) {
@@ -578,15 +587,15 @@
                 Action::CloseIdle { backend } => self.pool.close_idle(backend, &mut self.io),
                 Action::WatchList { on: true } => self.discovery.watch(&mut self.io),
                 Action::WatchList { on: false } => self.discovery.stop(&mut self.io),
-                Action::FetchList => self.discovery.fetch(&mut self.io),
+                Action::FetchList => self.discovery.fetch_full_list(&mut self.io),
                 Action::Log(text) => match self.pool.host_named_in(&text) {
                     Some(host) => tracing::info!(host, "{text}"),
                     None => tracing::info!("{text}"),
                 },
-                Action::SendToPeer { to, bytes } if self.fleet.is_on() => {
-                    self.fleet.tell(to.map_or(0, |to| usize::from(to.0)), bytes, &mut self.io);
+                Action::SendToPeer { to, bytes } if self.fleet.is_running() => {
+                    self.fleet.send_to_member(to.map_or(0, |to| usize::from(to.0)), bytes, &mut self.io);
                 }
-                Action::SendToPeer { to, bytes } => self.peers.tell(to, &bytes),
+                Action::SendToPeer { to, bytes } => self.peers.send(to, &bytes),
             }
         }
     }
--- a/crates/proxy/src/proxy/lifecycle.rs
+++ b/crates/proxy/src/proxy/lifecycle.rs
@@ -5,9 +5,9 @@
     INTERRUPTIONS_MOST, LASTED, LOOK_PAUSE, RELOAD_FOR, RELOAD_PAUSE, RELOAD_PAUSE_MOST,
 };
 use crate::config::{Config, ConfigError};
+use crate::control_messages::{self, HandoverState};
 use crate::io_failures::SystemCall;
-use crate::listing::Handed;
-use crate::said::{self, State};
+use crate::listing::HandoverList;
 use crate::shared::{Owner, ProxyEvent, TimerEvent};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use sparlug::time::{Span, Time};
@@ -15,7 +15,7 @@
 
 impl Proxy {
     pub(super) fn signalled(&mut self) {
-        for signal in self.signals.take() {
+        for signal in self.signals.take_pending() {
             tracing::info!(signal, counters = %self.io.counters, "signal");
             if signal == SIGHUP {
                 self.reload_since = Some(self.io.now);
@@ -25,7 +25,7 @@
                 self.leaving = Some(self.io.now);
                 self.clients.leaving = true;
                 self.clients.ends_at = Some(self.io.now + ACCEPT_ON + self.longest);
-                if self.handover.succeeded() {
+                if self.handover.has_successor() {
                     self.clients.stop_listening(true, &mut self.io);
                 } else {
                     self.fleet.leave(&mut self.io);
@@ -44,11 +44,11 @@
         };
         self.reload_since = None;
         self.io.deadlines.cancel(self.reload.take());
-        let (discovery, restart) = (config.discovery, config.fixed != self.fixed);
-        self.budgets = [config.budgets, config.halved];
+        let (discovery, restart) = (config.discovery, config.immutable != self.fixed);
+        self.budgets = [config.budgets, config.overlap_budgets];
         self.share();
-        let moved = self.discovery.go_to(discovery, &mut self.io);
-        if let (None, Some(list)) = (discovery, config.known) {
+        let moved = self.discovery.set_agent(discovery, &mut self.io);
+        if let (None, Some(list)) = (discovery, config.initial_list) {
             self.io.events.push_back(ProxyEvent::ListReceived(list, None));
         }
         let discovery = discovery.map_or("a list in the file".to_string(), |agent| agent.to_string());
@@ -65,7 +65,7 @@
         }
         let Some(since) = self.reload_since else { return };
         let passed = self.io.now.since(since);
-        let again = error.is_momentary() && passed < RELOAD_FOR;
+        let again = error.is_transient() && passed < RELOAD_FOR;
         if passed == Span::ZERO || !again {
             tracing::warn!(why = %error, again, "configuration kept as it was");
         }
@@ -81,24 +81,28 @@
 
     /// Takes the budgets of a proxy that is one process, or one of two.
     pub(super) fn share(&mut self) {
-        let budgets = self.budgets[usize::from(self.handover.beside())];
+        let budgets = self.budgets[usize::from(self.handover.is_overlapping())];
         self.clients.set_budgets(budgets);
         self.pool.set_budgets(budgets);
-        self.io.streaming_bytes = budgets.bytes / 2;
+        self.io.streaming_bytes = budgets.buffer_bytes / 2;
     }
 
     /// Hands over to a process that has come to take this one's place.
     pub(super) fn hand_over(&mut self) {
         let state = || {
-            let (agent, version) = self.discovery.at_hand();
-            let list = version.map(|version| Handed { version, hosts: self.pool.current_list() });
-            State { agent, barred: self.balancer.disabled().map(said::named).collect(), list }
+            let (agent, version) = self.discovery.agent_and_version();
+            let list = version.map(|version| HandoverList { version, hosts: self.pool.current_list() });
+            HandoverState {
+                agent,
+                disabled: self.balancer.disabled().map(control_messages::backend_key).collect(),
+                list,
+            }
         };
         self.handover.accept(self.clients.listener(), state, &mut self.io);
     }
 
     pub(super) fn leave(&mut self) {
-        self.clients.stop_listening(self.handover.succeeded(), &mut self.io);
+        self.clients.stop_listening(self.handover.has_successor(), &mut self.io);
         if self.clients.listens() {
             self.io.deadlines.set(self.io.now + DRAIN_PAUSE, TimerEvent::Shutdown);
         }
@@ -121,7 +125,7 @@
         self.looked = self.io.now;
         let mut owners =
             vec![Owner::Listener, Owner::Management, Owner::Handover, Owner::Peers, Owner::Fleet];
-        owners.push(Owner::Discovery(self.discovery.turn()));
+        owners.push(Owner::Discovery(self.discovery.connection_number()));
         owners.extend(self.clients.slots().map(Owner::Client));
         owners.extend(self.pool.slots().map(Owner::Conn));
         for owner in owners {
--- a/crates/proxy/src/proxy/requests.rs
+++ b/crates/proxy/src/proxy/requests.rs
@@ -19,7 +19,7 @@
         let (tenant, key, cost) = (incoming.tenant, incoming.head.key, None);
         // Guards against large requests filling the memory while they wait.
         let bytes = incoming.message.len();
-        let room = bytes + self.held_bytes <= self.clients.budgets.bytes;
+        let room = bytes + self.held_bytes <= self.clients.budgets.buffer_bytes;
         let deadlines = &mut self.io.deadlines;
         let slot = self.held.insert_with(|slot| {
             if !room {
@@ -154,7 +154,7 @@
                 Err(bad) => return self.bad_body(request, client, bad),
             };
             upload.over = over;
-            let (length, budget) = (bytes.len(), self.clients.budgets.bytes / 2);
+            let (length, budget) = (bytes.len(), self.clients.budgets.buffer_bytes / 2);
             if !upload.spent && message.len() + length <= COPY_MOST && self.held_bytes + length <= budget {
                 message.extend_from_slice(&bytes);
                 self.held_bytes += length;
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -12,12 +12,12 @@
 
 use crate::attempt_result::AttemptResult;
 use crate::buffered_stream::BufferedStream;
+use crate::control_messages::{AdminRequest, HandoverMessage};
 use crate::counters::Counters;
 use crate::deadlines::Deadlines;
 use crate::http::{RequestHead, ResponseHead};
 use crate::io_failures::SystemCall;
-use crate::listing::List;
-use crate::said::{Call, Word};
+use crate::listing::BackendList;
 use crate::slots::Slot;
 
 /// Marks of the kinds of slots.
@@ -178,14 +178,14 @@
     /// A call of this machine failed that was to send something to a backend.
     SendFailed(BackendId),
     /// A list, and the version that it follows.
-    ListReceived(List, Option<u64>),
+    ListReceived(BackendList, Option<u64>),
     ListFailed,
     /// An operator asks for something.
-    AdminRequestReceived(AdminSlot, Call),
+    AdminRequestReceived(AdminSlot, AdminRequest),
     /// A process that takes this one's place, or whose place this one takes, has come or gone.
     HandoverPeerChanged,
     /// And what it says.
-    HandoverMessage(Word),
+    HandoverMessage(HandoverMessage),
 }
 
 /// Whose event it is.
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/signals.rs
@@ -9,7 +9,7 @@
 use signal_hook_mio::v1_0::Signals;
 
 use crate::shared::Owner;
-use crate::starting::again;
+use crate::startup::retry_transient;
 
 const SIGNALS: [i32; 4] = [SIGTERM, SIGINT, SIGHUP, SIGUSR1];
 
@@ -23,7 +23,7 @@
 
 impl SignalQueue {
     /// Hears the signals from here on.
-    pub fn hear() -> Result<SignalQueue, String> {
+    pub fn install() -> Result<SignalQueue, String> {
         let hear = || {
             let signals = Signals::new(SIGNALS)?;
             let raised = Arc::new(AtomicBool::new(false));
@@ -32,20 +32,20 @@
             }
             Ok(SignalQueue { signals, raised })
         };
-        again(hear).map_err(|e| format!("cannot hear signals: {e}"))
+        retry_transient(hear).map_err(|e| format!("cannot hear signals: {e}"))
     }
 
-    pub fn watch(&mut self, registry: &Registry) -> io::Result<()> {
+    pub fn register(&mut self, registry: &Registry) -> io::Result<()> {
         registry.register(&mut self.signals, Owner::Signals.token(), Interest::READABLE)
     }
 
     /// Whether signals have come that were not taken.
-    pub fn has_come(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         self.raised.load(Ordering::SeqCst)
     }
 
     /// Takes all that have come.
-    pub fn take(&mut self) -> Vec<i32> {
+    pub fn take_pending(&mut self) -> Vec<i32> {
         self.raised.store(false, Ordering::SeqCst);
         self.signals.pending().collect()
     }
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -7,7 +7,7 @@
 use sparlug::id::BackendId;
 use sparlug::time::{Span, Time};
 
-use crate::listing::List;
+use crate::listing::BackendList;
 
 /// By how much the start of a backend that is new to the list may precede the last list without it.
 const UNLISTED_MOST: Span = Span::from_millis(60_000);
@@ -33,9 +33,9 @@
 
 impl StartTimes {
     /// Puts the start of each process on the proxy's own clock, in the place of its stamp.
-    pub fn correct(&mut self, list: &mut List, now: Time) {
+    pub fn correct(&mut self, list: &mut BackendList, now: Time) {
         for entry in &mut list.entries {
-            let stamp = entry.stamp;
+            let stamp = entry.listed_start;
             let started = match self.known.get(&entry.listing.backend) {
                 Some(known) if known.stamp == stamp => known.started,
                 known => {
--- a/crates/proxy/src/starting.rs
+++ b/crates/proxy/src/startup.rs
@@ -23,7 +23,7 @@
 }
 
 /// Makes a call until it succeeds, fails in a way that lasts, or the time for it is over.
-pub fn again<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let (start, mut told) = (Instant::now(), false);
     loop {
         match call() {
--- a/crates/proxy/tests/operating.rs
+++ b/crates/proxy/tests/operating.rs
@@ -12,7 +12,7 @@
 
 use helper::shim::{errno, Call, Fault, Shim};
 use helper::{accept, answer, ask, backend, message, request, write, Proxy};
-use sparlug_proxy::said::{next, Word};
+use sparlug_proxy::control_messages::{take_message, HandoverMessage};
 
 /// A backend that answers all it is asked with its name, until the test ends.
 fn serving(name: &'static str) -> TcpListener {
@@ -269,16 +269,16 @@
 
 #[test]
 fn what_processes_say_is_read_line_by_line_or_not_at_all() {
-    let word = Word::Bar { backend: ([10, 0, 0, 1], 80), barred: true };
+    let word = HandoverMessage::SetDisabled { backend: ([10, 0, 0, 1], 80), disabled: true };
     let text = [serde_json::to_string(&word).unwrap(), "\n".to_string()].concat();
     let mut input = Vec::new();
     for byte in text.bytes() {
-        assert_eq!(next(&mut input), Ok(None));
+        assert_eq!(take_message(&mut input), Ok(None));
         input.push(byte);
     }
-    assert_eq!((next(&mut input), input.len()), (Ok(Some(word)), 0));
+    assert_eq!((take_message(&mut input), input.len()), (Ok(Some(word)), 0));
     for bad in ["{}\n", "nonsense\n", "\n", "{\"Bar\":{\"backend\":[[1,2,3],4],\"barred\":true}}\n"] {
-        assert!(next(&mut bad.as_bytes().to_vec()).is_err(), "{bad}");
+        assert!(take_message(&mut bad.as_bytes().to_vec()).is_err(), "{bad}");
     }
-    assert!(next(&mut vec![b' '; 5 << 20]).is_err());
+    assert!(take_message(&mut vec![b' '; 5 << 20]).is_err());
 }
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -187,5 +187,5 @@
     assert!(wide.clients > 512 + 1024 / 4);
     let small = limits(256, 32).unwrap();
     // Guards against a small memory that leaves fewer connections than there are callers.
-    assert!(small.clients > 128 + 256 / 5 && small.bytes < wide.bytes, "{small:?}");
+    assert!(small.clients > 128 + 256 / 5 && small.buffer_bytes < wide.buffer_bytes, "{small:?}");
 }
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -8,7 +8,7 @@
 use sparlug::event::{Condition, Listing};
 use sparlug::id::{PodId, ZoneId};
 use sparlug::time::{Span, Time};
-use sparlug_proxy::listing::{backend_id, Entry, List};
+use sparlug_proxy::listing::{backend_id, BackendEntry, BackendList};
 use sparlug_proxy::start_times::StartTimes;
 
 const HOUR: Span = Span::from_millis(3_600_000);
@@ -28,8 +28,8 @@
         size: 1.0,
     };
     let dial = "127.0.0.1:1".parse().unwrap();
-    let entry = Entry { host: host.to_string(), dial, stamp: Some(stamp), listing };
-    let mut list = List { version: 1, whole: false, entries: vec![entry] };
+    let entry = BackendEntry { host: host.to_string(), address: dial, listed_start: Some(stamp), listing };
+    let mut list = BackendList { version: 1, full: false, entries: vec![entry] };
     starts.correct(&mut list, now);
     list.entries[0].listing.started.unwrap()
 }
@@ -82,12 +82,12 @@
             started: None,
             size: 1.0,
         };
-        Entry { host, dial: "127.0.0.1:1".parse().unwrap(), stamp: None, listing }
+        BackendEntry { host, address: "127.0.0.1:1".parse().unwrap(), listed_start: None, listing }
     };
-    let mut many = List { version: 1, whole: true, entries: (0..60_000).map(entry).collect() };
+    let mut many = BackendList { version: 1, full: true, entries: (0..60_000).map(entry).collect() };
     starts.correct(&mut many, at(0.0));
     let start = std::time::Instant::now();
-    let mut one = List { version: 2, whole: true, entries: vec![entry(0)] };
+    let mut one = BackendList { version: 2, full: true, entries: vec![entry(0)] };
     starts.correct(&mut one, at(1.0));
     assert!(start.elapsed() < std::time::Duration::from_millis(500), "took {:?}", start.elapsed());
 }
--- a/crates/setup/src/fleet.rs
+++ b/crates/setup/src/fleet.rs
@@ -6,11 +6,11 @@
 use sparlug::time::Span;
 use toml::Spanned;
 
-use crate::native::{span, Checker};
+use crate::native::{parse_span, Checker};
 
 /// What a proxy is told of its fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetSetup {
     /// Of all its members the same; others' messages are passed over.
     pub name: String,
     /// Where it listens, UDP.
@@ -22,11 +22,11 @@
     /// How many proxies there usually are, if staff say.
     pub expected: Option<usize>,
     /// What only one of them does at a time, if anything.
-    pub duties: Option<Duties>,
+    pub duties: Option<DutiesSetup>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Duties {
+pub struct DutiesSetup {
     pub names: Vec<String>,
     pub lease: Span,
     /// Members that vote, by the addresses that they tell others: one set, or two while staff change from one to the other.
@@ -69,7 +69,7 @@
         found: &Spanned<FleetText>,
         name: Option<&Spanned<String>>,
         peers: Option<usize>,
-    ) -> Option<Fleet> {
+    ) -> Option<FleetSetup> {
         let (at, text) = (found.span().start, found.get_ref());
         if text.name.is_none() {
             self.fault(at, "fleet.name: missing; wanted a word that all its members have");
@@ -112,7 +112,7 @@
         let duties = self.duties(text, &seeds);
         let expected = self.whole("fleet.expected", &text.expected, (1, 4096), 1);
         let expected = text.expected.as_ref().map(|_| expected);
-        Some(Fleet { name: fleet?, address: address?, advertise: advertise?, seeds, expected, duties })
+        Some(FleetSetup { name: fleet?, address: address?, advertise: advertise?, seeds, expected, duties })
     }
 
     /// Addresses of members, each once.
@@ -135,7 +135,7 @@
         all
     }
 
-    fn duties(&mut self, text: &FleetText, seeds: &[SocketAddr]) -> Option<Duties> {
+    fn duties(&mut self, text: &FleetText, seeds: &[SocketAddr]) -> Option<DutiesSetup> {
         let mut names: Vec<String> = Vec::new();
         for one in &text.duties {
             let (at, name) = (one.span().start, one.get_ref());
@@ -149,7 +149,7 @@
             }
         }
         let lease = self.value("fleet.lease", &text.lease, |text| {
-            let lease = span(text)?;
+            let lease = parse_span(text)?;
             let fits = (Span::from_millis(200)..=Span::from_millis(60_000)).contains(&lease);
             fits.then_some(lease).ok_or_else(|| format!("{text:?}: wanted a span from 200ms to 60s"))
         });
@@ -168,6 +168,6 @@
             );
         }
         let sets = [voters, before].into_iter().filter(|set| !set.is_empty()).collect();
-        Some(Duties { names, lease, voters: sets })
+        Some(DutiesSetup { names, lease, voters: sets })
     }
 }
--- a/crates/setup/src/lib.rs
+++ b/crates/setup/src/lib.rs
@@ -14,32 +14,32 @@
 
 /// Where in a load report the figures stand that the decisions read.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Columns {
-    pub held: Option<usize>,
-    pub waiting: Option<usize>,
+pub struct LoadColumns {
+    pub in_flight: Option<usize>,
+    pub queued: Option<usize>,
 }
 
 /// An instance's settings: what the decisions read, and what only its adapter does.
 #[derive(Debug)]
 pub struct Setup {
     pub settings: Settings,
-    pub columns: Columns,
+    pub load_columns: LoadColumns,
     /// In the order of the settings' classes, tenants and zones.
     pub class_names: Vec<String>,
     pub tenant_names: Vec<String>,
     pub zone_names: Vec<String>,
     /// Where the proxies of the tier hear each other, by their numbers.
-    pub peers: Vec<SocketAddr>,
+    pub peer_addresses: Vec<SocketAddr>,
     /// The fleet that it is a member of, if it is one; never on the platform.
-    pub fleet: Option<fleet::Fleet>,
+    pub fleet: Option<fleet::FleetSetup>,
     /// A connection that is not up by then counts as failed.
-    pub dial: Span,
+    pub connect_timeout: Span,
     /// A backend closes a connection that stood idle for so long.
-    pub idle: Span,
+    pub backend_idle_timeout: Span,
 }
 
 /// A load report whose figures bear their names, as on the wire or as on sockets.
-pub fn named_load<'a>(figures: impl Iterator<Item = (&'a str, f64)>) -> Load {
+pub fn load_from_named_values<'a>(figures: impl Iterator<Item = (&'a str, f64)>) -> Load {
     let mut load = Load::default();
     for (name, value) in figures.filter(|(_, value)| value.is_finite() && *value >= 0.0) {
         match name {
@@ -239,9 +239,9 @@
 pub fn decode(text: &[u8]) -> Result<Setup, String> {
     let setup: Text = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     let place = |name: &str| setup.report.columns.iter().position(|column| column == name);
-    let columns = Columns { held: place("busy_reqs"), waiting: place("pending") };
+    let columns = LoadColumns { in_flight: place("busy_reqs"), queued: place("pending") };
     let answers = matches!(setup.report.how, How::Answers);
-    let asked = answers && setup.allowed.probes && columns.held.or(columns.waiting).is_some();
+    let asked = answers && setup.allowed.probes && columns.in_flight.or(columns.queued).is_some();
     let class_names = setup.classes.iter().map(|class| class.name.clone()).collect();
     let tenant_names = setup.tenants.iter().map(|tenant| tenant.name.clone()).collect();
     let (dial, idle) = (setup.allowed.dial_timeout_ms, setup.allowed.conn_idle_ms);
@@ -277,5 +277,15 @@
     if !peers.is_empty() && peers.len() != settings.instances {
         return Err(format!("settings: {} peerAddresses for {} balancers", peers.len(), settings.instances));
     }
-    Ok(Setup { settings, columns, class_names, tenant_names, zone_names, peers, fleet: None, dial, idle })
+    Ok(Setup {
+        settings,
+        load_columns: columns,
+        class_names,
+        tenant_names,
+        zone_names,
+        peer_addresses: peers,
+        fleet: None,
+        connect_timeout: dial,
+        backend_idle_timeout: idle,
+    })
 }
--- a/crates/setup/src/native.rs
+++ b/crates/setup/src/native.rs
@@ -12,16 +12,16 @@
 use toml::Spanned;
 
 use crate::fleet::FleetText;
-use crate::{Columns, Setup};
+use crate::{LoadColumns, Setup};
 
 /// One thing wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct Diagnostic {
     pub line: usize,
     pub text: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.line, self.text)
     }
@@ -36,10 +36,10 @@
 
 /// Where the list of backends comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Directory {
+pub enum BackendSource {
     Agent(SocketAddr),
     /// It stands in the file, and changes when the file is read anew.
-    Listed(Vec<Backend>),
+    Static(Vec<Backend>),
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -48,11 +48,11 @@
     pub address: SocketAddr,
     pub zone: Option<usize>,
     pub size: f64,
-    pub drains: bool,
+    pub draining: bool,
 }
 
 /// A configuration, decoded and checked.
-pub struct Native {
+pub struct NativeConfig {
     pub name: String,
     pub listen: SocketAddr,
     /// Where operators call.
@@ -62,7 +62,7 @@
     pub memory_mb: usize,
     pub log: Option<String>,
     pub log_format: LogFormat,
-    pub directory: Directory,
+    pub backend_source: BackendSource,
     pub setup: Setup,
 }
 
@@ -172,7 +172,7 @@
 }
 
 /// A span as people write it.
-pub fn span(text: &str) -> Result<Span, String> {
+pub fn parse_span(text: &str) -> Result<Span, String> {
     let wanted =
         || format!("{text:?} is no span: wanted a number with us, ms, s, min or h, such as \"250ms\"");
     let split = text.find(|c: char| c.is_ascii_alphabetic()).ok_or_else(wanted)?;
@@ -194,7 +194,7 @@
 
 pub(crate) struct Checker<'a> {
     text: &'a str,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
 }
 
 impl Checker<'_> {
@@ -204,7 +204,7 @@
 
     pub(crate) fn fault(&mut self, at: usize, text: impl Into<String>) {
         let line = self.line(at);
-        self.faults.push(Fault { line, text: text.into() });
+        self.faults.push(Diagnostic { line, text: text.into() });
     }
 
     /// A value that is read by `read`, or a default where there is none.
@@ -225,16 +225,16 @@
     }
 
     fn span(&mut self, field: &str, found: &Option<Spanned<String>>, or: &str) -> Span {
-        let or = span(or).unwrap_or_default();
-        self.value(field, found, |text| span(text)).unwrap_or(or)
+        let or = parse_span(or).unwrap_or_default();
+        self.value(field, found, |text| parse_span(text)).unwrap_or(or)
     }
 
     fn above(&mut self, field: &str, found: &Option<Spanned<String>>, or: &str) -> Span {
-        let read = |text: &String| match span(text) {
+        let read = |text: &String| match parse_span(text) {
             Ok(Span::ZERO) => Err("wanted a span above 0".to_string()),
             read => read,
         };
-        self.value(field, found, read).unwrap_or(span(or).unwrap_or_default())
+        self.value(field, found, read).unwrap_or(parse_span(or).unwrap_or_default())
     }
 
     pub(crate) fn whole(
@@ -380,7 +380,7 @@
         let zone = self.value("discovery.backend.zone", &b.zone, |zone| place(zone, zones));
         let size = self.number("discovery.backend.size", &b.size, (1e-3, 1e6), 1.0);
         let name = b.name.as_ref()?.get_ref().clone();
-        Some(Backend { name, address: address?, zone, size, drains: b.drains })
+        Some(Backend { name, address: address?, zone, size, draining: b.drains })
     }
 }
 
@@ -390,7 +390,7 @@
 }
 
 /// Reads what serde can use; what it can't is told and blanked out, and the rest is read again.
-fn parse(text: &str, faults: &mut Vec<Fault>) -> Text {
+fn parse(text: &str, faults: &mut Vec<Diagnostic>) -> Text {
     let mut rest = text.to_string();
     for _ in 0..100 {
         let error = match toml::from_str::<Text>(&rest) {
@@ -399,7 +399,7 @@
         };
         let span = error.span().unwrap_or(0..0);
         let line = rest[..span.start.min(rest.len())].matches('\n').count() + 1;
-        faults.push(Fault { line, text: error.message().replace('\n', " ") });
+        faults.push(Diagnostic { line, text: error.message().replace('\n', " ") });
         let from = rest[..span.start.min(rest.len())].rfind('\n').map_or(0, |at| at + 1);
         let to = rest[span.end.min(rest.len())..].find('\n').map_or(rest.len(), |at| span.end + at);
         // A table goes with all its fields: guards against their being told as those of the one before.
@@ -417,7 +417,7 @@
 }
 
 /// Decodes a configuration; all that is wrong with it where it can't be used.
-pub fn decode(text: &str) -> Result<Native, Vec<Fault>> {
+pub fn decode(text: &str) -> Result<NativeConfig, Vec<Diagnostic>> {
     let mut faults = Vec::new();
     let read = parse(text, &mut faults);
     let parsed = faults.is_empty();
@@ -469,7 +469,7 @@
         Some(found) => {
             let (at, d) = (found.span().start, found.get_ref());
             match (&d.agent, d.backend.as_slice()) {
-                (Some(_), []) => c.address("discovery.agent", &d.agent, at).map(Directory::Agent),
+                (Some(_), []) => c.address("discovery.agent", &d.agent, at).map(BackendSource::Agent),
                 (None, []) => {
                     c.fault(at, "discovery: wanted an agent or at least one [[discovery.backend]]");
                     None
@@ -486,7 +486,7 @@
                             c.fault(at, format!("discovery.backend: {:?} is listed twice", one.name));
                         }
                     }
-                    Some(Directory::Listed(backends))
+                    Some(BackendSource::Static(backends))
                 }
             }
         }
@@ -546,19 +546,31 @@
         only_draining_excludes: b.only_draining_binds,
         slow_start,
     };
-    let columns = if reports { Columns { held: Some(0), waiting: Some(1) } } else { Columns::default() };
+    let columns =
+        if reports { LoadColumns { in_flight: Some(0), queued: Some(1) } } else { LoadColumns::default() };
     let setup = Setup {
         settings,
-        columns,
+        load_columns: columns,
         class_names: read.class.into_keys().collect(),
         tenant_names: Vec::new(),
         zone_names: zones,
-        peers,
+        peer_addresses: peers,
         fleet,
-        dial,
-        idle,
+        connect_timeout: dial,
+        backend_idle_timeout: idle,
     };
     let log = read.log.filter;
     let (name, log_format) = (name.unwrap_or_else(|| "sparlug".to_string()), log_format.unwrap_or_default());
-    Ok(Native { name, listen, management, seed, sockets, memory_mb, log, log_format, directory, setup })
+    Ok(NativeConfig {
+        name,
+        listen,
+        management,
+        seed,
+        sockets,
+        memory_mb,
+        log,
+        log_format,
+        backend_source: directory,
+        setup,
+    })
 }
--- a/crates/setup/tests/native.rs
+++ b/crates/setup/tests/native.rs
@@ -2,7 +2,7 @@
 
 use sparlug::settings::{Effect, Group};
 use sparlug::time::Span;
-use sparlug_setup::native::{decode, Directory, LogFormat};
+use sparlug_setup::native::{decode, BackendSource, LogFormat};
 
 const SMALL: &str = r#"name = "n1"
 
@@ -26,7 +26,7 @@
 #[test]
 fn a_small_configuration_has_defaults_for_the_rest() {
     let found = decode(SMALL).unwrap_or_else(|faults| panic!("{faults:?}"));
-    assert_eq!(found.directory, Directory::Agent("127.0.0.1:8500".parse().unwrap()));
+    assert_eq!(found.backend_source, BackendSource::Agent("127.0.0.1:8500".parse().unwrap()));
     assert_eq!((found.sockets, found.memory_mb, found.log_format), (1024, 192, LogFormat::Text));
     assert_eq!(found.setup.class_names, ["check-free"]);
     let settings = &found.setup.settings;
@@ -43,7 +43,7 @@
            effect = \"numbered\"\ngroup = \"pod\"\nwindow = \"3s\"\n";
     assert_eq!(faults(&text).len(), 1, "{:?}", faults(&text));
     let found = decode(&text.replace("effect_of = 1\n", "")).unwrap_or_else(|faults| panic!("{faults:?}"));
-    let Directory::Listed(backends) = &found.directory else { panic!("an agent") };
+    let BackendSource::Static(backends) = &found.backend_source else { panic!("an agent") };
     assert_eq!((backends[0].name.as_str(), backends[0].zone, backends[0].size), ("s-1", Some(1), 2.0));
     let window = Span::from_millis(3000);
     assert_eq!(found.setup.settings.classes[1].effect, Effect::Keyed { group: Group::Pod, window });
@@ -120,13 +120,19 @@
 fn keys_and_peers_are_off_unless_they_are_set() {
     let found = decode(SMALL).unwrap_or_else(|faults| panic!("{faults:?}"));
     let settings = &found.setup.settings;
-    assert_eq!((settings.key_affinity, settings.peer_messages, found.setup.peers.len()), (false, false, 0));
+    assert_eq!(
+        (settings.key_affinity, settings.peer_messages, found.setup.peer_addresses.len()),
+        (false, false, 0)
+    );
     let text = SMALL.to_string()
         + "[tier]\nproxies = 2\nordinal = 1\npeers = [\"127.0.0.1:9601\", \"127.0.0.1:9602\"]\n\
            [backends]\nremember_keys = true\n";
     let found = decode(&text).unwrap_or_else(|faults| panic!("{faults:?}"));
     let settings = &found.setup.settings;
-    assert_eq!((settings.key_affinity, settings.peer_messages, found.setup.peers.len()), (true, true, 2));
+    assert_eq!(
+        (settings.key_affinity, settings.peer_messages, found.setup.peer_addresses.len()),
+        (true, true, 2)
+    );
 }
 
 #[test]
@@ -136,13 +142,16 @@
         {"coldShare":0.3,"rampTimeMs":8000,"fallMultiple":3,"tipAfterMs":3000}"#;
     let plain = sparlug_setup::decode(format!("{base}}}").as_bytes()).unwrap();
     assert_eq!(
-        (plain.settings.key_affinity, plain.settings.peer_messages, plain.peers.len()),
+        (plain.settings.key_affinity, plain.settings.peer_messages, plain.peer_addresses.len()),
         (false, false, 0)
     );
     let more = r#","familyInfo":{"warmKeys":true},"peerAddresses":["127.0.0.1:9601","127.0.0.1:9602"]}"#;
     let full = base.replace("\"maxForwards\":2", "\"maxForwards\":2,\"peers\":true") + more;
     let full = sparlug_setup::decode(full.as_bytes()).unwrap();
-    assert_eq!((full.settings.key_affinity, full.settings.peer_messages, full.peers.len()), (true, true, 2));
+    assert_eq!(
+        (full.settings.key_affinity, full.settings.peer_messages, full.peer_addresses.len()),
+        (true, true, 2)
+    );
     let few = format!(r#"{base},"peerAddresses":["127.0.0.1:9601"]}}"#);
     assert!(sparlug_setup::decode(few.as_bytes()).unwrap_err().contains("1 peerAddresses for 2 balancers"));
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -10,12 +10,12 @@
 use sparlug::event::{Action, Event, Request};
 use sparlug::policy::Balancer;
 use sparlug::time::Time;
-use sparlug_setup::Columns;
+use sparlug_setup::LoadColumns;
 use wire::{Reader, Record, Reply, Tables, HEADER};
 
 struct Instance {
     balancer: Balancer,
-    columns: Columns,
+    columns: LoadColumns,
     classes: usize,
 }
 
@@ -34,7 +34,8 @@
         actions.clear();
         let ran = match record {
             Record::Start { seed, setup } => {
-                let sparlug_setup::Setup { settings, columns, .. } = sparlug_setup::decode(setup)?;
+                let sparlug_setup::Setup { settings, load_columns: columns, .. } =
+                    sparlug_setup::decode(setup)?;
                 let classes = settings.classes.len();
                 let start = AssertUnwindSafe(|| Balancer::new(settings, seed, now, actions));
                 catch_unwind(start).map(|balancer| {
@@ -73,7 +74,7 @@
         let mut reader = Reader::new(body);
         for place in 0..count {
             let instances = &self.instances;
-            let columns = |number| instances.get(&number).map_or(Columns::default(), |i| i.columns);
+            let columns = |number| instances.get(&number).map_or(LoadColumns::default(), |i| i.columns);
             let read = wire::record(&mut reader, &mut self.tables, columns);
             let ran = read.and_then(|record| match record {
                 Some((number, record)) => self.run(now, number, record),
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -4,7 +4,7 @@
 use sparlug::id::{AttemptNo, BackendId, ClassId, PeerId, PodId, RequestId, TenantId, TimerId, ZoneId};
 use sparlug::time::{Span, Time};
 
-use sparlug_setup::Columns;
+use sparlug_setup::LoadColumns;
 
 pub const HEADER: usize = 16;
 const TABLES: usize = 16;
@@ -97,13 +97,13 @@
         })
     }
 
-    fn load(&mut self, columns: Columns) -> Result<Load> {
+    fn load(&mut self, columns: LoadColumns) -> Result<Load> {
         let mut load = Load::default();
         for place in 0..usize::from(self.u8()?) {
             let value = Some(f64::from(self.f32()?)).filter(|v| v.is_finite() && *v >= 0.0);
-            if columns.held == Some(place) {
+            if columns.in_flight == Some(place) {
                 load.in_flight = value;
-            } else if columns.waiting == Some(place) {
+            } else if columns.queued == Some(place) {
                 load.queued = value;
             }
         }
@@ -168,7 +168,7 @@
 pub fn record<'a>(
     r: &mut Reader<'a>,
     tables: &mut Tables,
-    columns: impl Fn(u16) -> Columns,
+    columns: impl Fn(u16) -> LoadColumns,
 ) -> Result<Option<(u16, Record<'a>)>> {
     let at = r.at();
     let code = r.u8()?;
