--- a/crates/fleet/src/claims.rs
+++ b/crates/fleet/src/claims.rs
@@ -5,7 +5,7 @@
 
 use sparlug::time::{Span, Time};
 
-use crate::members::{Action, Due, Member, Members, Plant, BEAT, GOSSIP_TO, MEMBERS_MOST};
+use crate::membership::{Action, Due, Member, Membership, SeededDefect, BEAT, GOSSIP_TO, MEMBERS_MOST};
 use crate::wire::{Body, Entry, State};
 
 const SUSPECT_LEAST: f64 = 2.5; // beats that a suspicion lasts at the least, for each tenfold of the fleet
@@ -24,13 +24,13 @@
     pub warned: bool,
 }
 
-impl Members {
+impl Membership {
     /// Weighs a claim against what is held. `direct`: the member itself has just said it.
     pub(crate) fn hear(&mut self, claim: Entry, direct: bool, out: &mut Vec<Action>) {
         if claim.name == self.me.name {
             return self.hear_of_me(claim, out);
         }
-        if claim.address == self.me.address && claim.state.is_there() {
+        if claim.address == self.me.address && claim.state.is_present() {
             self.contest(&claim, out);
             // Who is reached at the own address is not reached by this process: it is no member to probe.
             if !self.others.contains_key(&claim.name) {
@@ -39,7 +39,7 @@
         }
         let Some(held) = self.others.get(&claim.name).map(|member| member.entry.clone()) else {
             // Who is gone and was never known need not be.
-            if claim.state.is_there() {
+            if claim.state.is_present() {
                 self.take(claim.clone(), out);
                 if claim.state == State::Suspect {
                     self.suspect(&claim.name, claim.by, out);
@@ -100,14 +100,14 @@
         let entry = Entry { state: State::Alive, by: 0, ..claim };
         let known = self.others.get(&entry.name).map(|member| member.entry.state);
         if known.is_none() && self.others.len() >= MEMBERS_MOST {
-            self.counts.too_many += 1;
+            self.counts.over_capacity += 1;
             return;
         }
         if known.is_none_or(|state| state != State::Alive) {
             let before = known.map_or("new", State::name);
             self.say(out, format!("member {} at {} is there ({before} before)", entry.name, entry.address));
         }
-        if known.is_none_or(|state| !state.is_there()) {
+        if known.is_none_or(|state| !state.is_present()) {
             let place = self.rng.rand_range(0..self.order.len() as u32 + 1) as usize;
             self.order.insert(place, entry.name.clone());
         }
@@ -141,7 +141,7 @@
     /// `by` accuses a member that is there.
     pub(crate) fn suspect(&mut self, name: &str, by: u32, out: &mut Vec<Action>) {
         let now = self.now;
-        let Some(member) = self.others.get_mut(name).filter(|member| member.entry.state.is_there()) else {
+        let Some(member) = self.others.get_mut(name).filter(|member| member.entry.state.is_present()) else {
             return;
         };
         let first = member.entry.state == State::Alive;
@@ -183,7 +183,7 @@
     }
 
     fn hold_dead(&mut self, name: &str, out: &mut Vec<Action>) {
-        self.counts.held_dead += 1;
+        self.counts.declared_dead += 1;
         self.end(name, State::Dead, FORGET);
         self.say(out, format!("member {name} is held dead"));
     }
@@ -196,7 +196,7 @@
     fn end(&mut self, name: &str, state: State, forget: Span) {
         let Some(member) = self.others.get_mut(name) else { return };
         (member.entry.state, member.since, member.suspicion) = (state, self.now, None);
-        let entry = Entry { by: self.me.life as u32, ..member.entry.clone() };
+        let entry = Entry { by: self.me.generation as u32, ..member.entry.clone() };
         self.set(forget, Due::Forget(name.to_string(), entry.incarnation));
         self.order.retain(|other| other != name);
         self.spread(entry);
@@ -205,11 +205,11 @@
 
     /// Others hold something of this proxy: what is wrong is set right.
     fn hear_of_me(&mut self, claim: Entry, out: &mut Vec<Action>) {
-        if claim.life != self.me.life {
-            if claim.state.is_there() && claim.address != self.me.address {
+        if claim.generation != self.me.generation {
+            if claim.state.is_present() && claim.address != self.me.address {
                 return self.contest(&claim, out);
             }
-            if self.settings.plant == Some(Plant::LostIncarnation) {
+            if self.settings.seeded_defect == Some(SeededDefect::LostIncarnation) {
                 return;
             }
             // An earlier life of one's own.
@@ -222,7 +222,7 @@
         let against = matches!(claim.state, State::Suspect | State::Dead | State::Left) && !self.leaving;
         if against
             && claim.incarnation >= self.me.incarnation
-            && self.settings.plant != Some(Plant::NoRefutation)
+            && self.settings.seeded_defect != Some(SeededDefect::NoRefutation)
         {
             self.me.incarnation = claim.incarnation + 1;
             self.counts.refuted += 1;
--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -22,7 +22,7 @@
 const RANKS: usize = 4; // beyond that, all wait as long for a duty that is free
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Letter {
+pub enum DutyMessage {
     /// To a voter: these duties are wanted under these terms, or only looked at, with the term 0.
     Ask {
         seq: u32,
@@ -44,22 +44,22 @@
     },
 }
 
-impl Letter {
+impl DutyMessage {
     pub fn makes_sense(&self, name_most: usize) -> bool {
         match self {
-            Letter::Ask { marks, duties, .. } => duties.len() <= ASKED_MOST && marks.len() <= 2,
-            Letter::Answer { answers, .. } => {
+            DutyMessage::Ask { marks, duties, .. } => duties.len() <= ASKED_MOST && marks.len() <= 2,
+            DutyMessage::Answer { answers, .. } => {
                 answers.len() <= ANSWERED_MOST
                     && answers.iter().all(|answer| answer.holder.len() <= name_most)
             }
-            Letter::Release { duties } => duties.len() <= ASKED_MOST,
-            Letter::Free { duties } => duties.len() <= ASKED_MOST,
+            DutyMessage::Release { duties } => duties.len() <= ASKED_MOST,
+            DutyMessage::Free { duties } => duties.len() <= ASKED_MOST,
         }
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Settings {
     pub duties: Vec<String>,
     pub lease: Span,
     /// The voters; two sets while staff change from one to the other.
@@ -67,28 +67,28 @@
     pub name: String,
     pub address: SocketAddr,
     /// Of this process its own.
-    pub life: u64,
+    pub generation: u64,
     pub seed: u64,
 }
 
 #[derive(Debug)]
 pub enum Event<'a> {
     Start,
-    /// It is at least as late as the last [`Action::Wake`] said.
-    Due,
+    /// It is at least as late as the last [`Action::SetTimer`] said.
+    TimerExpired,
     /// Who is there, itself among them, and whether it keeps out.
-    Crowd {
-        there: Vec<(String, SocketAddr)>,
-        kept_out: bool,
+    MembersChanged {
+        present: Vec<(String, SocketAddr)>,
+        excluded: bool,
     },
-    Heard {
+    MessageReceived {
         from: &'a Entry,
-        letter: Letter,
+        message: DutyMessage,
     },
     /// Another process with its name and address may vote beside it, or no longer does.
-    Beside(bool),
+    ProcessOverlap(bool),
     /// Staff say that this one is not to hold a duty, or may again.
-    Pause {
+    SetPaused {
         duty: &'a str,
         paused: bool,
     },
@@ -97,30 +97,30 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    Send { to: SocketAddr, letter: Letter },
-    Wake(Time),
+    Send { to: SocketAddr, message: DutyMessage },
+    SetTimer(Time),
     Log(String),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub taken: u64,
+    pub acquired: u64,
     /// Ended without being given back.
     pub lost: u64,
-    pub given: u64,
+    pub released: u64,
     /// Questions of those that have other voters: none was answered.
-    pub other_voters: u64,
+    pub voter_mismatches: u64,
 }
 
 /// What is known here of one duty.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct DutyStatus {
     pub name: String,
     /// Who holds it, as far as is known.
     pub holder: Option<String>,
     pub term: u64,
     pub held_here: bool,
-    pub left: Span,
+    pub remaining: Span,
     pub paused: bool,
 }
 
@@ -141,7 +141,7 @@
 }
 
 pub struct Duties {
-    plan: Plan,
+    settings: Settings,
     electorate: Electorate,
     marks: Vec<u32>,
     voter: Option<Voter>,
@@ -153,7 +153,7 @@
     duties: BTreeMap<u64, Duty>,
     there: Vec<(String, SocketAddr)>,
     there_since: Time,
-    kept_out: bool,
+    excluded: bool,
     leaving: bool,
     moved: Time,
     looked: Time,
@@ -163,14 +163,14 @@
 }
 
 /// FNV-1a of 64 bits.
-pub fn fnv(bytes: impl Iterator<Item = u8>) -> u64 {
+pub fn fnv1a(bytes: impl Iterator<Item = u8>) -> u64 {
     let step = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     bytes.fold(0xcbf2_9ce4_8422_2325, step)
 }
 
 /// A number for words in this order: FNV-1a, its bits mixed once more (the finaliser of splitmix64).
 fn hash(words: &[&str]) -> u64 {
-    let mut sum = fnv(words.iter().flat_map(|word| word.bytes().chain([0])));
+    let mut sum = fnv1a(words.iter().flat_map(|word| word.bytes().chain([0])));
     for (shift, factor) in [(30, 0xbf58_476d_1ce4_e5b9), (27, 0x94d0_49bb_1331_11eb_u64)] {
         sum = (sum ^ (sum >> shift)).wrapping_mul(factor);
     }
@@ -178,16 +178,16 @@
 }
 
 impl Duties {
-    pub fn new(plan: Plan, now: Time) -> Duties {
-        let electorate = Electorate::new(&plan.voters);
-        let votes = electorate.voters().contains(&plan.address);
-        let voter = votes.then(|| Voter::new(now, plan.lease, None));
+    pub fn new(settings: Settings, now: Time) -> Duties {
+        let electorate = Electorate::new(&settings.voters);
+        let votes = electorate.voters().contains(&settings.address);
+        let voter = votes.then(|| Voter::new(now, settings.lease, None));
         let duty = |name: &String| Duty { name: name.clone(), ..Duty::default() };
-        let duties = plan.duties.iter().map(|name| (hash(&[name]), duty(name))).collect();
-        let mut rng = Rand32::new(plan.seed);
+        let duties = settings.duties.iter().map(|name| (hash(&[name]), duty(name))).collect();
+        let mut rng = Rand32::new(settings.seed);
         let (marks, seq) = (electorate.marks(), rng.rand_u32());
         Duties {
-            plan,
+            settings,
             electorate,
             marks,
             voter,
@@ -199,7 +199,7 @@
             duties,
             there: Vec::new(),
             there_since: now,
-            kept_out: false,
+            excluded: false,
             leaving: false,
             moved: now,
             looked: now,
@@ -211,22 +211,22 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Start | Event::Due => {
+            Event::Start | Event::TimerExpired => {
                 self.tick(out);
-                out.push(Action::Wake(now + self.plan.lease.scaled(0.125)));
+                out.push(Action::SetTimer(now + self.settings.lease.scaled(0.125)));
             }
-            Event::Crowd { there, kept_out } => self.crowd(there, kept_out, out),
-            Event::Heard { from, letter } => {
-                let (name, address, life) = (from.name.clone(), from.address, from.life);
-                self.heard((&name, address, life), letter, out)
+            Event::MembersChanged { present: there, excluded } => self.crowd(there, excluded, out),
+            Event::MessageReceived { from, message: letter } => {
+                let (name, address, generation) = (from.name.clone(), from.address, from.generation);
+                self.heard((&name, address, generation), letter, out)
             }
-            Event::Beside(beside) => {
+            Event::ProcessOverlap(beside) => {
                 self.beside = beside;
                 if let Some(voter) = &mut self.voter {
                     voter.hush(now);
                 }
             }
-            Event::Pause { duty, paused } => self.pause(duty, paused, out),
+            Event::SetPaused { duty, paused } => self.pause(duty, paused, out),
             Event::Leave => {
                 self.leaving = true;
                 let held = self.held();
@@ -240,20 +240,22 @@
         self.duties.get(&hash(&[duty])).and_then(|duty| duty.tenure.term(now))
     }
 
-    pub fn knows(&self, duty: &str) -> bool {
+    pub fn is_configured(&self, duty: &str) -> bool {
         self.duties.contains_key(&hash(&[duty]))
     }
 
-    pub fn shown(&self, now: Time) -> Vec<Shown> {
+    pub fn statuses(&self, now: Time) -> Vec<DutyStatus> {
         let shown = |duty: &Duty| {
             let here = duty.tenure.term(now);
             let known = duty.known.as_ref().filter(|(_, _, until)| now < *until && here.is_none());
-            Shown {
+            DutyStatus {
                 name: duty.name.clone(),
-                holder: here.map(|_| self.plan.name.clone()).or(known.map(|(holder, _, _)| holder.clone())),
+                holder: here
+                    .map(|_| self.settings.name.clone())
+                    .or(known.map(|(holder, _, _)| holder.clone())),
                 term: here.or(known.map(|(_, term, _)| *term)).unwrap_or(0),
                 held_here: here.is_some(),
-                left: here
+                remaining: here
                     .map(|_| duty.tenure.left(now))
                     .or(known.map(|k| k.2.since(now)))
                     .unwrap_or(Span::ZERO),
@@ -269,30 +271,30 @@
     }
 
     fn part(&mut self, of: f64) -> Span {
-        self.plan.lease.scaled(of * f64::from(self.rng.rand_float()))
+        self.settings.lease.scaled(of * f64::from(self.rng.rand_float()))
     }
 
-    fn crowd(&mut self, there: Vec<(String, SocketAddr)>, kept_out: bool, out: &mut Vec<Action>) {
-        if kept_out && !self.kept_out {
+    fn crowd(&mut self, there: Vec<(String, SocketAddr)>, excluded: bool, out: &mut Vec<Action>) {
+        if excluded && !self.excluded {
             let held = self.held();
             self.give(&held, out);
         }
-        self.kept_out = kept_out;
+        self.excluded = excluded;
         if there == self.there {
             return;
         }
         (self.there, self.there_since) = (there, self.now);
         for duty in self.duties.values_mut() {
             let weight = |name: &str| hash(&[&duty.name, name]);
-            let own = weight(&self.plan.name);
-            let others = self.there.iter().filter(|(name, _)| *name != self.plan.name);
+            let own = weight(&self.settings.name);
+            let others = self.there.iter().filter(|(name, _)| *name != self.settings.name);
             duty.rank = others.clone().filter(|(name, _)| weight(name) > own).count();
             duty.first = others.max_by_key(|(name, _)| weight(name)).map(|(_, address)| *address);
         }
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
-        let (now, lease) = (self.now, self.plan.lease);
+        let (now, lease) = (self.now, self.settings.lease);
         for duty in self.duties.values_mut() {
             if duty.acting.is_some() && duty.tenure.term(now).is_none() {
                 self.counts.lost += 1;
@@ -302,7 +304,7 @@
         }
         self.abandon(out);
         self.give_way(out);
-        let may = now.since(self.began) >= lease.scaled(1.02) && !self.kept_out && !self.leaving;
+        let may = now.since(self.began) >= lease.scaled(1.02) && !self.excluded && !self.leaving;
         let wanted: Vec<u64> = self
             .duties
             .iter()
@@ -329,7 +331,7 @@
 
     /// Gives back what only some voters have granted, so that the one whose turn comes first gets all.
     fn abandon(&mut self, out: &mut Vec<Action>) {
-        let (now, lease) = (self.now, self.plan.lease);
+        let (now, lease) = (self.now, self.settings.lease);
         let mut back = Vec::new();
         for (key, duty) in &mut self.duties {
             if let Some(term) = duty.tenure.abandon(now, lease.scaled(TOGETHER)) {
@@ -339,14 +341,14 @@
             }
         }
         for duties in back.chunks(ASKED_MOST) {
-            self.ask_all(Letter::Release { duties: duties.to_vec() }, out);
+            self.ask_all(DutyMessage::Release { duties: duties.to_vec() }, out);
         }
     }
 
-    fn question(&self, duties: Vec<(u64, u64)>) -> Letter {
-        Letter::Ask {
+    fn question(&self, duties: Vec<(u64, u64)>) -> DutyMessage {
+        DutyMessage::Ask {
             seq: self.seq,
-            lease_ms: self.plan.lease.ms() as u32,
+            lease_ms: self.settings.lease.ms() as u32,
             marks: self.marks.clone(),
             duties,
         }
@@ -354,8 +356,8 @@
 
     /// Now and then each asks one voter who holds what, for staff, and to know when to ask.
     fn look(&mut self, out: &mut Vec<Action>) {
-        let every = self.plan.lease.scaled((self.there.len() as f64 / LOOKED_AT).max(1.0));
-        if self.now.since(self.looked) < every || self.kept_out {
+        let every = self.settings.lease.scaled((self.there.len() as f64 / LOOKED_AT).max(1.0));
+        if self.now.since(self.looked) < every || self.excluded {
             return;
         }
         self.looked = self.now;
@@ -372,19 +374,19 @@
         self.cursor += some.len();
         self.seq = self.seq.wrapping_add(1);
         let letter = self.question(some);
-        out.push(Action::Send { to, letter });
+        out.push(Action::Send { to, message: letter });
     }
 
-    fn ask_all(&mut self, letter: Letter, out: &mut Vec<Action>) {
+    fn ask_all(&mut self, letter: DutyMessage, out: &mut Vec<Action>) {
         for voter in self.electorate.voters() {
             // Also to itself by the network: guards against one that wrongly tells a voter's address voting for itself.
-            out.push(Action::Send { to: voter, letter: letter.clone() });
+            out.push(Action::Send { to: voter, message: letter.clone() });
         }
     }
 
     /// Gives a duty to the one that comes first, once that one has been there for a while, a few at a time.
     fn give_way(&mut self, out: &mut Vec<Action>) {
-        let (now, lease) = (self.now, self.plan.lease);
+        let (now, lease) = (self.now, self.settings.lease);
         if now.since(self.there_since) < lease.scaled(2.0) || now.since(self.moved) < MOVE {
             return;
         }
@@ -402,7 +404,7 @@
 
     /// Stops acting first, then gives back, then says so to the one that comes next.
     fn give(&mut self, keys: &[u64], out: &mut Vec<Action>) {
-        let after = self.now + self.plan.lease.scaled(0.75) + self.part(0.5);
+        let after = self.now + self.settings.lease.scaled(0.75) + self.part(0.5);
         let mut free: BTreeMap<SocketAddr, Vec<u64>> = BTreeMap::new();
         let mut back = Vec::new();
         for key in keys {
@@ -411,18 +413,18 @@
             duty.acting = None;
             let Some(term) = duty.tenure.stop() else { continue };
             back.push((*key, term));
-            self.counts.given += 1;
+            self.counts.released += 1;
             out.push(Action::Log(format!("duty {} is given back, term {term}", duty.name)));
             if let Some(first) = duty.first {
                 free.entry(first).or_default().push(*key);
             }
         }
         for duties in back.chunks(ASKED_MOST) {
-            self.ask_all(Letter::Release { duties: duties.to_vec() }, out);
+            self.ask_all(DutyMessage::Release { duties: duties.to_vec() }, out);
         }
         for (to, keys) in free {
             for duties in keys.chunks(ASKED_MOST) {
-                out.push(Action::Send { to, letter: Letter::Free { duties: duties.to_vec() } });
+                out.push(Action::Send { to, message: DutyMessage::Free { duties: duties.to_vec() } });
             }
         }
     }
@@ -440,37 +442,37 @@
         }
     }
 
-    fn heard(&mut self, from: (&str, SocketAddr, u64), letter: Letter, out: &mut Vec<Action>) {
-        let (name, address, life) = from;
+    fn heard(&mut self, from: (&str, SocketAddr, u64), letter: DutyMessage, out: &mut Vec<Action>) {
+        let (name, address, generation) = from;
         match letter {
-            Letter::Ask { seq, lease_ms, marks, duties } => {
+            DutyMessage::Ask { seq, lease_ms, marks, duties } => {
                 let Some(voter) = self.voter.as_mut().filter(|_| !self.beside) else { return };
                 if !marks.iter().any(|mark| self.marks.contains(mark)) {
-                    self.counts.other_voters += 1;
+                    self.counts.voter_mismatches += 1;
                     return;
                 }
                 let (now, lease) = (self.now, Span::from_millis(lease_ms.into()));
                 let answers: Vec<Answer> = duties
                     .into_iter()
-                    .filter_map(|(duty, term)| voter.ask(now, duty, term, (life, name), lease))
+                    .filter_map(|(duty, term)| voter.ask(now, duty, term, (generation, name), lease))
                     .collect();
                 for answers in answers.chunks(ANSWERED_MOST) {
-                    let letter = Letter::Answer { seq, answers: answers.to_vec() };
-                    out.push(Action::Send { to: address, letter });
+                    let letter = DutyMessage::Answer { seq, answers: answers.to_vec() };
+                    out.push(Action::Send { to: address, message: letter });
                 }
             }
-            Letter::Answer { seq, answers } if self.electorate.voters().contains(&address) => {
+            DutyMessage::Answer { seq, answers } if self.electorate.voters().contains(&address) => {
                 answers.into_iter().for_each(|answer| self.answered(seq, address, answer, out));
             }
-            Letter::Answer { .. } => {}
-            Letter::Release { duties } => {
+            DutyMessage::Answer { .. } => {}
+            DutyMessage::Release { duties } => {
                 for (duty, term) in duties {
                     if let Some(voter) = &mut self.voter {
-                        voter.release(duty, term, life);
+                        voter.release(duty, term, generation);
                     }
                 }
             }
-            Letter::Free { duties } => {
+            DutyMessage::Free { duties } => {
                 for key in duties {
                     if let Some(duty) = self.duties.get_mut(&key) {
                         duty.next = self.now;
@@ -482,14 +484,14 @@
     }
 
     fn answered(&mut self, seq: u32, voter: SocketAddr, answer: Answer, out: &mut Vec<Action>) {
-        let (now, lease) = (self.now, self.plan.lease);
+        let (now, lease) = (self.now, self.settings.lease);
         let jitter = self.part(1.0 / 16.0);
         let Some(duty) = self.duties.get_mut(&answer.duty) else { return };
         if answer.granted {
             let began = duty.tenure.granted(now, (seq, answer.term), voter, &self.electorate, lease, None);
             if began {
                 (duty.acting, duty.known) = (Some(answer.term), None);
-                self.counts.taken += 1;
+                self.counts.acquired += 1;
                 out.push(Action::Log(format!("duty {} is held here, term {}", duty.name, answer.term)));
             }
             return;
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -5,7 +5,7 @@
 
 use sparlug::time::Span;
 
-use crate::members::{Action, Due, Members, BEAT};
+use crate::membership::{Action, Due, Membership, BEAT};
 use crate::wire::{pieces, Body, Entry, State};
 
 const EXCHANGE: Span = Span::from_millis(10_000); // between two whole tables, in a fleet of up to 32
@@ -35,7 +35,7 @@
     outside: bool,
 }
 
-impl Members {
+impl Membership {
     pub(crate) fn start(&mut self) {
         self.set(Span::ZERO, Due::Join);
         self.set(SETTLE, Due::Announce);
@@ -47,7 +47,7 @@
         self.set(exchange, Due::Exchange);
     }
 
-    pub(crate) fn kept_out(&self) -> bool {
+    pub(crate) fn is_excluded(&self) -> bool {
         self.claim.as_ref().is_some_and(|claim| claim.outside)
     }
 
@@ -59,7 +59,7 @@
     /// Asks some seeds for what they know, until one has answered.
     pub(crate) fn join(&mut self, out: &mut Vec<Action>) {
         let mut seeds = self.seeds();
-        if self.joined || seeds.is_empty() || self.kept_out() {
+        if self.joined || seeds.is_empty() || self.is_excluded() {
             return;
         }
         while seeds.len() > JOIN_TO {
@@ -104,7 +104,7 @@
         let scale = (self.alive() as f64 / 32.0).log2().max(0.0) + 1.0;
         let after = EXCHANGE.scaled(scale * (0.75 + 0.5 * f64::from(self.rng.rand_float())));
         self.set(after, Due::Exchange);
-        if self.kept_out() {
+        if self.is_excluded() {
             return;
         }
         if let Some(to) = self.some(1, "").pop().and_then(|name| self.others.get(&name)) {
@@ -118,7 +118,7 @@
     pub(crate) fn reach(&mut self, out: &mut Vec<Action>) {
         let after = REACH.scaled(0.75 + 0.5 * f64::from(self.rng.rand_float()));
         self.set(after, Due::Reach);
-        if self.kept_out() || self.others.is_empty() {
+        if self.is_excluded() || self.others.is_empty() {
             return;
         }
         let dead = self.others.values().filter(|member| member.entry.state == State::Dead);
@@ -133,10 +133,10 @@
     }
 
     pub(crate) fn table(&mut self, sender: Entry, ask: bool, entries: Vec<Entry>, out: &mut Vec<Action>) {
-        let was_there = self.others.get(&sender.name).is_some_and(|member| member.entry.state.is_there());
+        let was_there = self.others.get(&sender.name).is_some_and(|member| member.entry.state.is_present());
         let bare = entries.is_empty();
         for entry in entries {
-            if entry.name != sender.name || entry.life != sender.life {
+            if entry.name != sender.name || entry.generation != sender.generation {
                 self.hear(entry, false, out);
             }
         }
@@ -173,7 +173,7 @@
 
     /// Hears of another process with the own name, or the own address: is it there?
     pub(crate) fn contest(&mut self, other: &Entry, out: &mut Vec<Action>) {
-        if self.claim.is_some() || other.life == self.me.life || self.leaving {
+        if self.claim.is_some() || other.generation == self.me.generation || self.leaving {
             return;
         }
         let (seq, address) = (self.next_seq(), other.name != self.me.name);
@@ -184,10 +184,10 @@
 
     /// Judges a claim on the own address, after the other one was asked there and oneself as well.
     fn judge_address(&mut self, out: &mut Vec<Action>) {
-        let life = self.me.life;
+        let generation = self.me.generation;
         let Some(claim) = self.claim.as_mut().filter(|claim| claim.address && claim.answered) else { return };
         // Guards against one wrong line in one configuration shutting out the process that is reached there.
-        let goes_before = !claim.echoed || claim.other.life < life;
+        let goes_before = !claim.echoed || claim.other.generation < generation;
         if !claim.echoed && claim.asked < CHALLENGES {
             return; // its own ping may have been lost
         }
@@ -233,7 +233,7 @@
     /// One that asks for the table gets it at the address that it tells others. Where another member is there, it is told so
     /// by the way that its message came: guards against one that never hears an answer and does not know why.
     pub(crate) fn tell_who_is_there(&mut self, sender: &Entry, from: SocketAddr, out: &mut Vec<Action>) {
-        let there = |entry: &Entry| entry.address == sender.address && entry.state.is_there();
+        let there = |entry: &Entry| entry.address == sender.address && entry.state.is_present();
         let mut others = self.others.values().map(|member| &member.entry);
         if from == sender.address {
             return;
@@ -252,7 +252,7 @@
         from: SocketAddr,
         out: &mut Vec<Action>,
     ) {
-        if sender.incarnation > 0 && sender.state.is_there() {
+        if sender.incarnation > 0 && sender.state.is_present() {
             self.contest(sender, out);
         }
         match body {
@@ -263,14 +263,14 @@
                 self.challenged(*seq, sender, out);
             }
             _ => {
-                let (life, told) = self.namesake;
-                if life == sender.life && self.now.since(told) < BEAT {
+                let (generation, told) = self.namesake;
+                if generation == sender.generation && self.now.since(told) < BEAT {
                     return;
                 }
-                self.namesake = (sender.life, self.now);
+                self.namesake = (sender.generation, self.now);
                 let me = Some(self.me.clone()).filter(|_| self.announced);
                 self.send(from, Body::Gossip, 0, me, out);
-                if life != sender.life {
+                if generation != sender.generation {
                     let (name, address) = (&sender.name, sender.address);
                     let text = format!(
                         "{name} tells others that it is at {address}, the address of this process, which is {}",
@@ -321,7 +321,7 @@
     /// Whether an answer came from the other process of a claim. The younger one keeps out.
     pub(crate) fn challenged(&mut self, seq: u32, sender: &Entry, out: &mut Vec<Action>) -> bool {
         let Some(claim) = self.claim.as_mut().filter(|claim| claim.seq == seq) else { return false };
-        if sender.life != claim.other.life {
+        if sender.generation != claim.other.generation {
             return true;
         }
         if claim.address {
@@ -333,7 +333,7 @@
             return true;
         }
         let (name, address) = (claim.other.name.clone(), sender.address);
-        if claim.other.life > self.me.life {
+        if claim.other.generation > self.me.generation {
             // It is the younger one, and finds out itself; what it has claimed is overruled.
             if name == self.me.name {
                 self.me.incarnation = self.me.incarnation.max(claim.other.incarnation + 1);
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -18,7 +18,7 @@
 
 /// A deliberate mistake, which the check must find; none outside of tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Plant {
+pub enum SeededDefect {
     /// A voter that has restarted votes at once.
     NoSilence,
     /// The holder counts its lease from the answer.
@@ -62,8 +62,8 @@
 }
 
 impl Voter {
-    pub fn new(now: Time, lease: Span, plant: Option<Plant>) -> Voter {
-        let silence = if plant == Some(Plant::NoSilence) { Span::ZERO } else { lease };
+    pub fn new(now: Time, lease: Span, seeded_defect: Option<SeededDefect>) -> Voter {
+        let silence = if seeded_defect == Some(SeededDefect::NoSilence) { Span::ZERO } else { lease };
         let floor = now.since(Time::ORIGIN).ms() as u64;
         Voter { lease, silent_until: now + silence, floor, granted: BTreeMap::new() }
     }
@@ -221,7 +221,7 @@
         voter: SocketAddr,
         voters: &Electorate,
         lease: Span,
-        plant: Option<Plant>,
+        seeded_defect: Option<SeededDefect>,
     ) -> bool {
         let before = self.term(now).is_some();
         let Some(asked) = self.asked.as_mut().filter(|asked| asked.seq == seq && term == self.term) else {
@@ -231,8 +231,8 @@
         if !voters.carried(&asked.granted) {
             return false;
         }
-        let kept = if plant == Some(Plant::NoMargin) { lease } else { lease.scaled(KEPT) };
-        let from = if plant == Some(Plant::FromAnswer) { now } else { asked.at };
+        let kept = if seeded_defect == Some(SeededDefect::NoMargin) { lease } else { lease.scaled(KEPT) };
+        let from = if seeded_defect == Some(SeededDefect::FromAnswer) { now } else { asked.at };
         let until = from + kept;
         self.until = Some(self.until.map_or(until, |held| held.max(until)));
         !before && self.term(now).is_some()
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,10 +2,10 @@
 //! events with the time at which they came, and appends what is to be done. `docs/design/fleet.md` says why it is as
 //! it is, and on what each of its properties rests.
 
-pub mod counted;
 pub mod duties;
 pub mod leases;
-pub mod members;
+pub mod member_count;
+pub mod membership;
 pub mod news;
 pub mod view;
 pub mod wire;
--- a/crates/fleet/src/counted.rs
+++ b/crates/fleet/src/member_count.rs
@@ -31,15 +31,15 @@
 
 /// The number in force: it follows at once where it is to rise, and slowly where it is to fall.
 #[derive(Clone, Copy, Debug)]
-pub struct Counted {
+pub struct MemberCount {
     number: f64,
     at: Time,
 }
 
-impl Counted {
+impl MemberCount {
     /// Begins with what the configuration says.
-    pub fn new(number: usize, at: Time) -> Counted {
-        Counted { number: number.max(1) as f64, at }
+    pub fn new(number: usize, at: Time) -> MemberCount {
+        MemberCount { number: number.max(1) as f64, at }
     }
 
     /// Takes what [`divide_by`] says now; tells whether the whole number in force is another.
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/membership.rs
@@ -9,12 +9,12 @@
 use sparlug::time::{Span, Time};
 
 use crate::claims::Suspicion;
-use crate::counted::{divide_by, Counted};
-use crate::duties::Letter;
+use crate::duties::DutyMessage;
 use crate::exchange::Claim;
+use crate::member_count::{divide_by, MemberCount};
 use crate::news::News;
 use crate::probing::{Probe, Relay};
-use crate::view::{Seen, View};
+use crate::view::{MemberStatus, View};
 use crate::wire::{self, Bad, Body, Entry, Message, State};
 
 pub(crate) const BEAT: Span = Span::from_millis(500); // between two probes of one's own
@@ -45,12 +45,12 @@
     /// How many the file's tier has: counted until others were heard.
     pub instances: usize,
     /// A mistake that a search must find; `None` outside of tests.
-    pub plant: Option<Plant>,
+    pub seeded_defect: Option<SeededDefect>,
 }
 
 /// A deliberate mistake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum SeededDefect {
     /// Does not speak up against a suspicion.
     NoRefutation,
     /// Begins each life with the first incarnation, whatever it hears of an earlier one.
@@ -60,17 +60,17 @@
 #[derive(Debug)]
 pub enum Event<'a> {
     Start,
-    /// It is at least as late as the last [`Action::Wake`] said.
-    Due,
+    /// It is at least as late as the last [`Action::SetTimer`] said.
+    TimerExpired,
     /// Bytes, and where they came from: that proves nothing, and is a way to one that others can't reach.
-    Heard(&'a [u8], SocketAddr),
+    DatagramReceived(&'a [u8], SocketAddr),
     /// Says something to one of the others that are there, chosen by a number.
-    Tell {
-        nth: usize,
+    SendPeerMessage {
+        member_index: usize,
         bytes: Vec<u8>,
     },
     /// A letter about duties.
-    Post(SocketAddr, Letter),
+    SendDutyMessage(SocketAddr, DutyMessage),
     /// It will end soon, by order.
     Leave,
 }
@@ -82,38 +82,38 @@
         bytes: Vec<u8>,
     },
     /// Wants [`Event::Due`] then, and no longer when it had wanted it before.
-    Wake(Time),
+    SetTimer(Time),
     Log(String),
     /// The view, or the number in force, is another.
-    Changed,
+    ViewChanged,
     /// A member that is there has said this.
-    Word {
+    PeerMessage {
         from: String,
         bytes: Vec<u8>,
     },
     /// One of the fleet that has announced itself has sent a letter about duties.
-    Letter(Entry, Letter),
+    DutyMessage(Entry, DutyMessage),
 }
 
 /// What was not taken, and how often.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sent: u64,
-    pub heard: u64,
+    pub received: u64,
     pub foreign: u64,
     pub newer: u64,
-    pub garbled: u64,
+    pub corrupted: u64,
     pub unknown_kind: u64,
-    pub senseless: u64,
+    pub invalid: u64,
     pub other_fleet: u64,
     /// Pings for somebody else.
     pub misdirected: u64,
     /// Claims of members beyond those that there is room for.
-    pub too_many: u64,
+    pub over_capacity: u64,
     pub refuted: u64,
-    pub held_dead: u64,
+    pub declared_dead: u64,
     /// Times that it had not run for a while.
-    pub slept: u64,
+    pub pauses: u64,
 }
 
 #[derive(Debug)]
@@ -157,7 +157,7 @@
     pub told: Time,
 }
 
-pub struct Members {
+pub struct Membership {
     pub(crate) settings: Settings,
     pub(crate) rng: Rand32,
     pub(crate) now: Time,
@@ -188,7 +188,7 @@
     pub(crate) reached: Option<SocketAddr>,
     pub(crate) joins: u32,
     gossips: bool,
-    counted: Counted,
+    member_count: MemberCount,
     /// How many are there, the proxy itself among them; how many are known that have not left; how many are suspected.
     census: (usize, usize, usize),
     lines: (f64, Time),
@@ -197,20 +197,21 @@
     pub counts: Counts,
 }
 
-impl Members {
+impl Membership {
     /// `seed` draws its life and its choices; `now` is its own clock, whose origin is the same for all lives of a name.
-    pub fn new(settings: Settings, seed: u64, now: Time) -> Members {
+    pub fn new(settings: Settings, seed: u64, now: Time) -> Membership {
         let mut rng = Rand32::new(seed);
         let (name, address, zone) = (settings.name.clone(), settings.address, settings.zone.clone());
         // A later life has a higher one, as long as clocks go forward; if not, it is told of the earlier one and goes
         // above that.
         let first = now.since(Time::ORIGIN).ms().max(1.0) as u64;
-        let incarnation = if settings.plant == Some(Plant::LostIncarnation) { 1 } else { first };
-        let life = first << LIFE_BITS | u64::from(rng.rand_u32() >> (32 - LIFE_BITS));
-        let me = Entry { name, address, zone, state: State::Alive, incarnation, life, by: 0 };
-        let counted = Counted::new(settings.expected.unwrap_or(0).max(settings.instances), now);
+        let incarnation =
+            if settings.seeded_defect == Some(SeededDefect::LostIncarnation) { 1 } else { first };
+        let generation = first << LIFE_BITS | u64::from(rng.rand_u32() >> (32 - LIFE_BITS));
+        let me = Entry { name, address, zone, state: State::Alive, incarnation, generation, by: 0 };
+        let member_count = MemberCount::new(settings.expected.unwrap_or(0).max(settings.instances), now);
         let seq = rng.rand_u32();
-        Members {
+        Membership {
             settings,
             rng,
             now,
@@ -234,7 +235,7 @@
             reached: None,
             joins: 0,
             gossips: false,
-            counted,
+            member_count,
             census: (1, 1, 0),
             lines: (LINES, now),
             unsaid: 0,
@@ -249,17 +250,17 @@
         let before = out.len();
         match event {
             Event::Start => self.start(),
-            Event::Due => self.all_due(out),
-            Event::Heard(bytes, from) => self.heard(bytes, from, out),
-            Event::Tell { nth, bytes } => {
+            Event::TimerExpired => self.all_due(out),
+            Event::DatagramReceived(bytes, from) => self.heard(bytes, from, out),
+            Event::SendPeerMessage { member_index, bytes } => {
                 let there = self.there();
-                if let Some(to) = there.get(nth % there.len().max(1)).cloned() {
+                if let Some(to) = there.get(member_index % there.len().max(1)).cloned() {
                     self.send_to(&to, Body::Word { bytes }, 0, out);
                 }
             }
-            Event::Post(to, letter) => {
+            Event::SendDutyMessage(to, letter) => {
                 // One that keeps out holds nothing, and gives back what it held.
-                if !self.kept_out() || matches!(letter, Letter::Release { .. }) {
+                if !self.is_excluded() || matches!(letter, DutyMessage::Release { .. }) {
                     self.send(to, Body::Duty(letter), 0, None, out);
                 }
             }
@@ -267,14 +268,14 @@
         }
         self.count();
         if std::mem::take(&mut self.changed) {
-            out.push(Action::Changed);
+            out.push(Action::ViewChanged);
         }
         self.counts.sent +=
             out[before..].iter().filter(|action| matches!(action, Action::Send { .. })).count() as u64;
         let first = self.due.first_key_value().map(|((at, _), _)| *at);
         if let Some(at) = first.filter(|_| first != self.wakes) {
             self.wakes = first;
-            out.push(Action::Wake(at));
+            out.push(Action::SetTimer(at));
         }
     }
 
@@ -303,7 +304,7 @@
 
     /// The process did not run: what it would judge now counts from here, and a bit more.
     fn slept(&mut self, slept: Span) {
-        self.counts.slept += 1;
+        self.counts.pauses += 1;
         self.ail(1);
         let (judging, rest) = std::mem::take(&mut self.due).into_iter().partition(|(_, due)| due.judges());
         let judging: BTreeMap<(Time, u64), Due> = judging;
@@ -332,7 +333,7 @@
             Due::Indirect(seq) => self.ask_others(seq, out),
             Due::Verdict(seq) => self.verdict(seq, out),
             Due::Relay(seq) => self.relay_late(seq, out),
-            Due::Suspicion(_) if self.kept_out() => {}
+            Due::Suspicion(_) if self.is_excluded() => {}
             Due::Suspicion(name) => self.suspicion_over(&name, out),
             Due::Gossip => self.gossip_due(out),
             Due::Exchange => self.exchange(out),
@@ -342,7 +343,7 @@
             Due::Challenge => self.challenge(out),
             Due::Forget(name, incarnation) => {
                 let still = |member: &Member| {
-                    !member.entry.state.is_there() && member.entry.incarnation == incarnation
+                    !member.entry.state.is_present() && member.entry.incarnation == incarnation
                 };
                 if self.others.get(&name).is_some_and(still) {
                     self.others.remove(&name);
@@ -356,7 +357,7 @@
 
     /// Names of all others that are there.
     pub(crate) fn there(&self) -> Vec<String> {
-        let there = self.others.values().filter(|member| member.entry.state.is_there());
+        let there = self.others.values().filter(|member| member.entry.state.is_present());
         there.map(|member| member.entry.name.clone()).collect()
     }
 
@@ -368,7 +369,7 @@
     /// Somebody has come or gone.
     pub(crate) fn recount(&mut self) {
         let states = || self.others.values().map(|member| member.entry.state);
-        let there = states().filter(|state| state.is_there()).count();
+        let there = states().filter(|state| state.is_present()).count();
         let suspects = states().filter(|state| *state == State::Suspect).count();
         self.census = (1 + there, 1 + states().filter(|state| *state != State::Left).count(), suspects);
         self.changed = true;
@@ -376,7 +377,7 @@
 
     /// Some of those that are there, at random.
     pub(crate) fn some(&mut self, count: usize, but: &str) -> Vec<String> {
-        let fit = |member: &&Member| member.entry.state.is_there() && member.entry.name != but;
+        let fit = |member: &&Member| member.entry.state.is_present() && member.entry.name != but;
         let all = self.others.values().filter(fit).count();
         let mut places = std::collections::BTreeSet::new();
         while places.len() < count.min(all) {
@@ -459,9 +460,9 @@
                 *match bad {
                     Bad::Foreign => &mut counts.foreign,
                     Bad::Newer => &mut counts.newer,
-                    Bad::Garbled => &mut counts.garbled,
+                    Bad::Garbled => &mut counts.corrupted,
                     Bad::UnknownKind => &mut counts.unknown_kind,
-                    Bad::Senseless => &mut counts.senseless,
+                    Bad::Senseless => &mut counts.invalid,
                 } += 1;
                 return;
             }
@@ -470,17 +471,17 @@
             self.counts.other_fleet += 1;
             return;
         }
-        self.counts.heard += 1;
+        self.counts.received += 1;
         let Message { sender, body, news, .. } = message;
-        let mine = sender.name == self.me.name && sender.life == self.me.life;
+        let mine = sender.name == self.me.name && sender.generation == self.me.generation;
         if mine {
             // It comes back by the address that it tells others.
             if let Body::Duty(letter) = body {
-                return out.push(Action::Letter(sender, letter));
+                return out.push(Action::DutyMessage(sender, letter));
             }
             return self.echoed(&body);
         }
-        if self.kept_out() {
+        if self.is_excluded() {
             return self.heard_outside(&sender, &body, out);
         }
         if sender.name != self.me.name && sender.address == self.me.address {
@@ -514,12 +515,13 @@
                 }
                 self.table(sender, ask, entries, out);
             }
-            Body::Duty(letter) if sender.incarnation > 0 => out.push(Action::Letter(sender, letter)),
+            Body::Duty(letter) if sender.incarnation > 0 => out.push(Action::DutyMessage(sender, letter)),
             Body::Duty(_) => {}
             Body::Word { bytes } => {
-                let there = self.others.get(&sender.name).is_some_and(|member| member.entry.state.is_there());
+                let there =
+                    self.others.get(&sender.name).is_some_and(|member| member.entry.state.is_present());
                 if there {
-                    out.push(Action::Word { from: sender.name, bytes });
+                    out.push(Action::PeerMessage { from: sender.name, bytes });
                 }
             }
         }
@@ -528,8 +530,8 @@
     // What is seen of it.
 
     /// Of this process its own.
-    pub fn life(&self) -> u64 {
-        self.me.life
+    pub fn generation(&self) -> u64 {
+        self.me.generation
     }
 
     /// A line of the log, a bounded number of them.
@@ -561,37 +563,37 @@
         // Who hears that it is held dead is not heard: what it sees itself says nothing of what others take.
         let unheard = self.told_dead.is_some_and(|at| self.now.since(at) < UNHEARD);
         let wanted = if unheard { wanted.max(whole as f64) } else { wanted };
-        self.changed |= self.counted.update(wanted, self.now);
+        self.changed |= self.member_count.update(wanted, self.now);
     }
 
     /// By how many the proxy divides what all share.
-    pub fn counted(&self) -> usize {
-        self.counted.whole()
+    pub fn member_count(&self) -> usize {
+        self.member_count.whole()
     }
 
     pub fn view(&self, now: Time) -> View {
-        let seen = |entry: &Entry, since: Time| Seen {
+        let seen = |entry: &Entry, since: Time| MemberStatus {
             name: entry.name.clone(),
             address: entry.address,
             zone: entry.zone.clone(),
             state: entry.state,
             incarnation: entry.incarnation,
-            since: now.since(since),
+            state_age: now.since(since),
         };
-        let mut members: Vec<Seen> =
+        let mut members: Vec<MemberStatus> =
             self.others.values().map(|member| seen(&member.entry, member.since)).collect();
         members.push(seen(&self.me, Time::ORIGIN));
         members.sort_by(|a, b| a.name.cmp(&b.name));
         let (alive, expected) = (self.alive(), self.expected());
         View {
             fleet: self.settings.fleet.clone(),
-            me: self.me.name.clone(),
+            local_name: self.me.name.clone(),
             members,
             alive,
             expected,
-            majority: alive * 2 > expected,
-            counted: self.counted(),
-            kept_out: self.kept_out(),
+            has_majority: alive * 2 > expected,
+            member_count: self.member_count(),
+            excluded: self.is_excluded(),
         }
     }
 }
--- a/crates/fleet/src/probing.rs
+++ b/crates/fleet/src/probing.rs
@@ -5,7 +5,7 @@
 
 use sparlug::time::Span;
 
-use crate::members::{Action, Due, Members, BEAT, RIDERS};
+use crate::membership::{Action, Due, Membership, BEAT, RIDERS};
 use crate::wire::{Body, Entry};
 
 const DIRECT: Span = Span::from_millis(200); // for an answer, before others are asked
@@ -30,7 +30,7 @@
     target: String,
 }
 
-impl Members {
+impl Membership {
     pub(crate) fn next_seq(&mut self) -> u32 {
         self.seq = self.seq.wrapping_add(1);
         self.seq
@@ -40,7 +40,7 @@
         let beat = self.slowed(BEAT);
         self.set(beat, Due::Beat);
         // One that is still open was put off: the process had not run.
-        if self.probe.is_some() || self.kept_out() {
+        if self.probe.is_some() || self.is_excluded() {
             return;
         }
         let Some(target) = self.next_target() else { return };
@@ -64,7 +64,7 @@
                 }
             }
             let next = self.order.pop()?;
-            if self.others.get(&next).is_some_and(|member| member.entry.state.is_there()) {
+            if self.others.get(&next).is_some_and(|member| member.entry.state.is_present()) {
                 return Some(next);
             }
         }
@@ -94,7 +94,7 @@
         // Those that were asked and said nothing at all speak for the fault being here.
         let silent = probe.asked - probe.nacks.min(probe.asked);
         self.ail(if probe.asked == 0 { 1 } else { silent as u32 });
-        self.suspect(&probe.target, self.me.life as u32, out);
+        self.suspect(&probe.target, self.me.generation as u32, out);
         // Whoever is accused hears of it from the accuser first.
         self.send_to(&probe.target, Body::Gossip, 0, out);
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -7,30 +7,30 @@
 use crate::wire::State;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct MemberStatus {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
     pub state: State,
     pub incarnation: u64,
     /// How long it has been held so.
-    pub since: Span,
+    pub state_age: Span,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
     pub fleet: String,
-    pub me: String,
+    pub local_name: String,
     /// In the order of their names, the proxy itself among them.
-    pub members: Vec<Seen>,
+    pub members: Vec<MemberStatus>,
     /// How many are there, suspects and the proxy itself included.
     pub alive: usize,
     /// How many there usually are: what staff say, or what has been there of late.
     pub expected: usize,
     /// Whether more than half of those are there.
-    pub majority: bool,
+    pub has_majority: bool,
     /// By how many the proxy divides what all share.
-    pub counted: usize,
+    pub member_count: usize,
     /// Another process claims its name or address: it takes no part.
-    pub kept_out: bool,
+    pub excluded: bool,
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::duties::Letter;
+use crate::duties::DutyMessage;
 
 /// Bytes of a datagram at the most: it passes every usual link in one piece.
-pub const MOST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Goes up when a message can't be read by those of before.
 pub const VERSION: u8 = 1;
 /// Bytes of a name, a zone or a fleet's name at the most.
@@ -39,7 +39,7 @@
     }
 
     /// Whether one in this state is counted among those that are there.
-    pub fn is_there(self) -> bool {
+    pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
@@ -54,7 +54,7 @@
     /// Only the member itself raises it; 0 is said by one that has not announced itself yet.
     pub incarnation: u64,
     /// Of each process its own, from when it began: two with one name are told apart by it, and the lower is the older.
-    pub life: u64,
+    pub generation: u64,
     /// Of a suspicion: who raised it, as the low half of a life.
     pub by: u32,
 }
@@ -91,7 +91,7 @@
         bytes: Vec<u8>,
     },
     /// Of duties that one holds.
-    Duty(Letter),
+    Duty(DutyMessage),
 }
 
 impl Body {
@@ -158,12 +158,12 @@
 
 /// How many bytes an entry takes in a message.
 pub fn size(entry: &Entry) -> usize {
-    postcard::to_allocvec(entry).map_or(MOST, |bytes| bytes.len())
+    postcard::to_allocvec(entry).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
 
 /// How many bytes of entries still fit into a message.
 pub fn room(message: &Message) -> usize {
-    MOST.saturating_sub(encode(message).len() + 1)
+    MAX_DATAGRAM_BYTES.saturating_sub(encode(message).len() + 1)
 }
 
 /// Reads a message; the work is bounded by the length of a datagram.
@@ -173,7 +173,7 @@
     }
     let length = usize::from(u16::from_le_bytes([bytes[4], bytes[5]]));
     let sum = u32::from_le_bytes([bytes[6], bytes[7], bytes[8], bytes[9]]);
-    if bytes.len() > MOST || bytes.len() != HEAD + length || sum != checksum(bytes) {
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() != HEAD + length || sum != checksum(bytes) {
         return Err(Bad::Garbled);
     }
     // A version's head stays as it is for ever: what is newer is known to be whole.
--- a/crates/fleet/tests/duties.rs
+++ b/crates/fleet/tests/duties.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sparlug::time::{Span, Time};
-use sparlug_fleet::duties::{Action, Duties, Event, Letter, Plan};
+use sparlug_fleet::duties::{Action, Duties, DutyMessage, Event, Settings};
 use sparlug_fleet::leases::Answer;
 use sparlug_fleet::wire::{Entry, State};
 
@@ -12,8 +12,16 @@
 }
 
 fn entry(n: usize) -> Entry {
-    let (name, life) = (format!("p-{n}"), 100 + n as u64);
-    Entry { name, address: address(n), zone: String::new(), state: State::Alive, incarnation: 1, life, by: 0 }
+    let (name, generation) = (format!("p-{n}"), 100 + n as u64);
+    Entry {
+        name,
+        address: address(n),
+        zone: String::new(),
+        state: State::Alive,
+        incarnation: 1,
+        generation,
+        by: 0,
+    }
 }
 
 struct One {
@@ -25,27 +33,27 @@
     /// p-0 of four; p-1, p-2 and p-3 vote.
     fn new() -> One {
         let now = Time::from_ms(1e9);
-        let plan = Plan {
+        let settings = Settings {
             duties: vec!["list".into()],
             lease: Span::from_millis(1000),
             voters: vec![(1..4).map(address).collect()],
             name: "p-0".into(),
             address: address(0),
-            life: 100,
+            generation: 100,
             seed: 1,
         };
-        let mut one = One { duties: Duties::new(plan, now), now };
+        let mut one = One { duties: Duties::new(settings, now), now };
         let there = (0..4).map(|n| (format!("p-{n}"), address(n))).collect();
-        one.tell(Event::Crowd { there, kept_out: false });
+        one.tell(Event::MembersChanged { present: there, excluded: false });
         one
     }
 
-    fn tell(&mut self, event: Event) -> Vec<(SocketAddr, Letter)> {
+    fn tell(&mut self, event: Event) -> Vec<(SocketAddr, DutyMessage)> {
         let mut out = Vec::new();
         self.duties.handle(self.now, event, &mut out);
         let sent = |action| match action {
-            Action::Send { to, letter } => Some((to, letter)),
-            Action::Wake(_) | Action::Log(_) => None,
+            Action::Send { to, message: letter } => Some((to, letter)),
+            Action::SetTimer(_) | Action::Log(_) => None,
         };
         out.into_iter().filter_map(sent).collect()
     }
@@ -54,9 +62,9 @@
     fn asks(&mut self) -> (u32, u64, u64) {
         for _ in 0..100 {
             self.now = self.now + Span::from_millis(125);
-            for (_, letter) in self.tell(Event::Due) {
+            for (_, letter) in self.tell(Event::TimerExpired) {
                 match letter {
-                    Letter::Ask { seq, duties, .. } if duties[0].1 > 0 => {
+                    DutyMessage::Ask { seq, duties, .. } if duties[0].1 > 0 => {
                         return (seq, duties[0].0, duties[0].1)
                     }
                     _ => {}
@@ -68,7 +76,10 @@
 
     fn grant(&mut self, by: usize, (seq, duty, term): (u32, u64, u64)) {
         let answer = Answer { duty, granted: true, term, holder: "p-0".into(), left_ms: 1000 };
-        self.tell(Event::Heard { from: &entry(by), letter: Letter::Answer { seq, answers: vec![answer] } });
+        self.tell(Event::MessageReceived {
+            from: &entry(by),
+            message: DutyMessage::Answer { seq, answers: vec![answer] },
+        });
     }
 
     fn held(&self) -> Option<u64> {
@@ -100,8 +111,8 @@
     let asked = one.asks();
     one.grant(1, asked);
     one.now = one.now + Span::from_millis(125);
-    let back = Letter::Release { duties: vec![(asked.1, asked.2)] };
-    let sent = one.tell(Event::Due);
+    let back = DutyMessage::Release { duties: vec![(asked.1, asked.2)] };
+    let sent = one.tell(Event::TimerExpired);
     assert_eq!(sent.iter().filter(|(_, letter)| *letter == back).count(), 3);
     let again = one.asks();
     assert!(again.2 > asked.2);
@@ -119,19 +130,23 @@
         (1..4).for_each(|voter| one.grant(voter, asked));
         assert!(one.held().is_some());
         let there = (0..4).map(|n| (format!("p-{n}"), address(n))).collect();
-        let sent = one.tell(if leaves { Event::Leave } else { Event::Crowd { there, kept_out: true } });
+        let sent = one.tell(if leaves {
+            Event::Leave
+        } else {
+            Event::MembersChanged { present: there, excluded: true }
+        });
         assert_eq!(one.held(), None);
-        let back = Letter::Release { duties: vec![(asked.1, asked.2)] };
+        let back = DutyMessage::Release { duties: vec![(asked.1, asked.2)] };
         assert_eq!(sent.iter().filter(|(_, letter)| *letter == back).count(), 3);
-        let free = sent.iter().filter(|(_, letter)| matches!(letter, Letter::Free { .. }));
+        let free = sent.iter().filter(|(_, letter)| matches!(letter, DutyMessage::Free { .. }));
         assert_eq!(free.count(), 1);
         for _ in 0..40 {
             one.now = one.now + Span::from_millis(125);
-            let asks = |(_, letter): &(SocketAddr, Letter)| match letter {
-                Letter::Ask { duties, .. } => duties.iter().any(|(_, term)| *term > 0),
+            let asks = |(_, letter): &(SocketAddr, DutyMessage)| match letter {
+                DutyMessage::Ask { duties, .. } => duties.iter().any(|(_, term)| *term > 0),
                 _ => false,
             };
-            assert!(!one.tell(Event::Due).iter().any(asks));
+            assert!(!one.tell(Event::TimerExpired).iter().any(asks));
         }
     }
 }
--- a/crates/fleet/tests/leases.rs
+++ b/crates/fleet/tests/leases.rs
@@ -9,12 +9,13 @@
 
 use oorandom::Rand32;
 use sparlug::time::{Span, Time};
-use sparlug_fleet::leases::{Electorate, Fence, Plant, Tenure, Voter};
+use sparlug_fleet::leases::{Electorate, Fence, SeededDefect, Tenure, Voter};
 
 const LEASE: Span = Span::from_millis(100);
 const DUTY: u64 = 1;
 const BEGAN: i64 = 1_000_000_000; // microseconds that every clock shows at the world's 0
-const PLANTS: [Plant; 3] = [Plant::NoSilence, Plant::FromAnswer, Plant::NoMargin];
+const SEEDED_DEFECTS: [SeededDefect; 3] =
+    [SeededDefect::NoSilence, SeededDefect::FromAnswer, SeededDefect::NoMargin];
 
 fn voter_address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7100 + n as u16))
@@ -67,13 +68,23 @@
     lasts: i64,
     /// Who is refused gives back at once what others have granted it.
     abandons: bool,
-    plant: Option<Plant>,
+    seeded_defect: Option<SeededDefect>,
 }
 
 impl Case {
-    fn small(holders: Vec<i64>, voters: i64, plant: Option<Plant>) -> Case {
+    fn small(holders: Vec<i64>, voters: i64, seeded_defect: Option<SeededDefect>) -> Case {
         let (asks, restarts, twice, releases, lasts, abandons) = (2, 1, 0, 0, 130_000, false);
-        Case { voters: vec![voters; 3], holders, asks, restarts, twice, releases, lasts, abandons, plant }
+        Case {
+            voters: vec![voters; 3],
+            holders,
+            asks,
+            restarts,
+            twice,
+            releases,
+            lasts,
+            abandons,
+            seeded_defect,
+        }
     }
 
     fn electorate(&self) -> Electorate {
@@ -82,7 +93,8 @@
 
     fn begin(&self) -> World {
         // The voters have been there for long.
-        let voters = self.voters.iter().map(|rate| Voter::new(local(-200_000, *rate), LEASE, self.plant));
+        let voters =
+            self.voters.iter().map(|rate| Voter::new(local(-200_000, *rate), LEASE, self.seeded_defect));
         World {
             at: 0,
             voters: voters.collect(),
@@ -140,7 +152,7 @@
 
     fn restart(&self, world: &mut World, voter: usize) {
         world.restarts += 1;
-        world.voters[voter] = Voter::new(local(world.at, self.voters[voter]), LEASE, self.plant);
+        world.voters[voter] = Voter::new(local(world.at, self.voters[voter]), LEASE, self.seeded_defect);
     }
 
     fn release(&self, world: &mut World, by: usize) {
@@ -178,7 +190,7 @@
             Letter::Granted { to, seq, term, voter } => {
                 let now = local(world.at, self.holders[to]);
                 let by = voter_address(voter);
-                world.holders[to].granted(now, (seq, term), by, voters, LEASE, self.plant);
+                world.holders[to].granted(now, (seq, term), by, voters, LEASE, self.seeded_defect);
             }
             Letter::Release { by, term, voter } => world.voters[voter].release(DUTY, term, by as u64 + 10),
         }
@@ -319,22 +331,22 @@
 
 #[test]
 fn each_planted_mistake_is_found_among_all_orders() {
-    for plant in PLANTS {
+    for seeded_defect in SEEDED_DEFECTS {
         let found = RATES.iter().any(|(holders, voters)| {
-            let case = Case::small(holders.to_vec(), *voters, Some(plant));
-            case.all().inspect_err(|wrong| println!("{plant:?}: {wrong}")).is_err()
+            let case = Case::small(holders.to_vec(), *voters, Some(seeded_defect));
+            case.all().inspect_err(|wrong| println!("{seeded_defect:?}: {wrong}")).is_err()
         });
-        assert!(found, "{plant:?} is not found");
+        assert!(found, "{seeded_defect:?} is not found");
     }
 }
 
 /// A larger case, its clocks drawn.
-fn drawn(seed: u64, plant: Option<Plant>) -> Case {
+fn drawn(seed: u64, seeded_defect: Option<SeededDefect>) -> Case {
     let mut rng = Rand32::new(seed ^ 0x5eed);
     let mut rates = |count: usize| (0..count).map(|_| 990 + i64::from(rng.rand_range(0..21))).collect();
     let (voters, holders) = (rates([3, 5, 7][seed as usize % 3]), rates(2 + seed as usize % 4));
     let (asks, restarts, twice, releases, lasts, abandons) = (0, 0, 0, 0, i64::MAX, true);
-    Case { voters, holders, asks, restarts, twice, releases, lasts, abandons, plant }
+    Case { voters, holders, asks, restarts, twice, releases, lasts, abandons, seeded_defect }
 }
 
 #[test]
@@ -359,12 +371,12 @@
 
 #[test]
 fn each_planted_mistake_is_found_in_histories_from_each_of_three_seeds() {
-    for plant in PLANTS {
+    for seeded_defect in SEEDED_DEFECTS {
         for first in [0, 1_000_000, 2_000_000] {
-            let found =
-                (first..first + 200_000).find(|seed| drawn(*seed, Some(plant)).history(*seed, 400).is_err());
-            let seed = found.unwrap_or_else(|| panic!("{plant:?} is not found from seed {first} on"));
-            println!("{plant:?}: seed {seed}");
+            let found = (first..first + 200_000)
+                .find(|seed| drawn(*seed, Some(seeded_defect)).history(*seed, 400).is_err());
+            let seed = found.unwrap_or_else(|| panic!("{seeded_defect:?} is not found from seed {first} on"));
+            println!("{seeded_defect:?}: seed {seed}");
             assert!(drawn(seed, None).history(seed, 400).is_ok());
         }
     }
--- a/crates/fleet/tests/model/mod.rs
+++ b/crates/fleet/tests/model/mod.rs
@@ -9,8 +9,8 @@
 
 use oorandom::Rand32;
 use sparlug::time::{Span, Time};
-use sparlug_fleet::members::{Action, Event, Members, Plant, Settings};
-use sparlug_fleet::wire::{State, MOST};
+use sparlug_fleet::membership::{Action, Event, Membership, SeededDefect, Settings};
+use sparlug_fleet::wire::{State, MAX_DATAGRAM_BYTES};
 
 /// Milliseconds of the world's clock, in thousandths.
 pub type Us = i64;
@@ -25,7 +25,7 @@
 }
 
 pub struct Node {
-    pub members: Members,
+    pub members: Membership,
     /// Where it is reached, which is what it tells others unless a test makes it lie.
     pub address: SocketAddr,
     pub up: bool,
@@ -54,7 +54,7 @@
     pub duplicate: f64,
     /// Ways that nothing passes, from one to another.
     pub cut: BTreeSet<(usize, usize)>,
-    pub plant: Option<Plant>,
+    pub seeded_defect: Option<SeededDefect>,
     pub expected: Option<usize>,
     by_address: BTreeMap<SocketAddr, usize>,
     seeds: Vec<SocketAddr>,
@@ -65,7 +65,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, plant: Option<Plant>) -> World {
+    pub fn new(seed: u64, seeded_defect: Option<SeededDefect>) -> World {
         World {
             now: 0,
             nodes: Vec::new(),
@@ -77,7 +77,7 @@
             delay: (MS / 5, MS),
             duplicate: 0.0,
             cut: BTreeSet::new(),
-            plant,
+            seeded_defect,
             expected: None,
             by_address: BTreeMap::new(),
             seeds: vec![address(0), address(1), address(2)],
@@ -101,7 +101,7 @@
             seeds: self.seeds.clone(),
             expected: self.expected,
             instances: 1,
-            plant: self.plant,
+            seeded_defect: self.seeded_defect,
         }
     }
 
@@ -109,7 +109,7 @@
     pub fn add(&mut self) -> usize {
         let n = self.nodes.len();
         let (shows, drift) = (1e12 + self.chance() * 1e6, (self.chance() - 0.5) * 0.02);
-        let members = Members::new(self.settings(n), 0, Time::ORIGIN);
+        let members = Membership::new(self.settings(n), 0, Time::ORIGIN);
         let (waiting, log) = Default::default();
         self.by_address.insert(address(n), n);
         self.nodes.push(Node {
@@ -152,7 +152,7 @@
         self.nodes[n].shows += ahead;
         let now = self.local(n);
         let node = &mut self.nodes[n];
-        (node.members, node.up, node.life) = (Members::new(settings, 77, now), true, node.life + 1);
+        (node.members, node.up, node.life) = (Membership::new(settings, 77, now), true, node.life + 1);
         self.handle(n, Event::Start);
         n
     }
@@ -161,7 +161,7 @@
         let (seed, settings, now) = (u64::from(self.rng.rand_u32()), self.settings(n), self.local(n));
         let node = &mut self.nodes[n];
         (node.members, node.up, node.frozen_until, node.wake) =
-            (Members::new(settings, seed, now), true, 0, None);
+            (Membership::new(settings, seed, now), true, 0, None);
         node.waiting.clear();
         node.life += 1;
         self.handle(n, Event::Start);
@@ -216,19 +216,19 @@
         for action in out {
             match action {
                 Action::Send { to, bytes } => self.sent(n, to, bytes),
-                Action::Wake(at) => {
+                Action::SetTimer(at) => {
                     self.nodes[n].wake = Some(at);
                     let (due, life) = (self.global(n, at), self.nodes[n].life);
                     self.push(due, What::Due(n, life));
                 }
                 Action::Log(text) => self.nodes[n].log.push(text),
-                Action::Changed | Action::Word { .. } | Action::Letter(..) => {}
+                Action::ViewChanged | Action::PeerMessage { .. } | Action::DutyMessage(..) => {}
             }
         }
     }
 
     fn sent(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= MOST, "a message of {} bytes", bytes.len());
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "a message of {} bytes", bytes.len());
         (self.nodes[from].sent, self.nodes[from].sent_bytes) =
             (self.nodes[from].sent + 1, self.nodes[from].sent_bytes + bytes.len() as u64);
         let Some(target) = self.by_address.get(&to).copied() else { return };
@@ -264,13 +264,13 @@
                             self.nodes[n].waiting.push((from, bytes));
                         }
                     } else {
-                        self.handle(n, Event::Heard(&bytes, from));
+                        self.handle(n, Event::DatagramReceived(&bytes, from));
                     }
                 }
                 What::Due(n, life) => self.due(n, life),
                 What::Thaw(n) if self.nodes[n].up && self.nodes[n].frozen_until <= self.now => {
                     for (from, bytes) in std::mem::take(&mut self.nodes[n].waiting) {
-                        self.handle(n, Event::Heard(&bytes, from));
+                        self.handle(n, Event::DatagramReceived(&bytes, from));
                     }
                     let life = self.nodes[n].life;
                     self.due(n, life);
@@ -289,7 +289,7 @@
         let now = self.local(n);
         if node.wake.is_some_and(|wake| wake <= now) {
             self.nodes[n].wake = None;
-            self.handle(n, Event::Due);
+            self.handle(n, Event::TimerExpired);
         }
     }
 
@@ -300,7 +300,7 @@
     /// Whom a node holds to be there, itself included.
     pub fn sees(&self, n: usize) -> BTreeSet<String> {
         let view = self.nodes[n].members.view(self.local(n));
-        view.members.into_iter().filter(|seen| seen.state.is_there()).map(|seen| seen.name).collect()
+        view.members.into_iter().filter(|seen| seen.state.is_present()).map(|seen| seen.name).collect()
     }
 
     pub fn holds(&self, n: usize, of: usize) -> Option<State> {
@@ -329,12 +329,12 @@
 
     /// What all that are up take together of what all share.
     pub fn shares(&self) -> f64 {
-        self.up().into_iter().map(|n| 1.0 / self.nodes[n].members.counted() as f64).sum()
+        self.up().into_iter().map(|n| 1.0 / self.nodes[n].members.member_count() as f64).sum()
     }
 }
 
-pub fn fleet(seed: u64, count: usize, plant: Option<Plant>) -> World {
-    let mut world = World::new(seed, plant);
+pub fn fleet(seed: u64, count: usize, seeded_defect: Option<SeededDefect>) -> World {
+    let mut world = World::new(seed, seeded_defect);
     for _ in 0..count {
         world.add();
         world.play(5 * MS);
--- a/crates/fleet/tests/search.rs
+++ b/crates/fleet/tests/search.rs
@@ -4,8 +4,8 @@
 mod model;
 
 use model::{fleet, span, Us, World, MS, S};
-use sparlug_fleet::counted::SETTLED;
-use sparlug_fleet::members::Plant;
+use sparlug_fleet::member_count::SETTLED;
+use sparlug_fleet::membership::SeededDefect;
 use sparlug_fleet::wire::State;
 
 /// How many schedules of each kind; more where the search is run for itself.
@@ -20,8 +20,8 @@
 }
 
 /// Half a minute of faults drawn by the world's chance, then none. What went wrong, if anything.
-fn schedule(seed: u64, count: usize, plant: Option<Plant>) -> Result<(), String> {
-    let mut world = fleet(seed, count, plant);
+fn schedule(seed: u64, count: usize, seeded_defect: Option<SeededDefect>) -> Result<(), String> {
+    let mut world = fleet(seed, count, seeded_defect);
     world.play(8 * S);
     world.delay = (MS / 5, [1, 5, 50, 100][world.draw(4)] * MS);
     for _ in 0..2 + world.draw(5) {
@@ -121,10 +121,10 @@
 
 #[test]
 fn planted_mistakes_are_found_from_each_of_three_seeds() {
-    for plant in [Plant::NoRefutation, Plant::LostIncarnation] {
+    for seeded_defect in [SeededDefect::NoRefutation, SeededDefect::LostIncarnation] {
         for first in [0, 1000, 2000] {
-            let found = (first..first + 40).find(|seed| schedule(*seed, 6, Some(plant)).is_err());
-            let seed = found.unwrap_or_else(|| panic!("{plant:?} is not found from seed {first} on"));
+            let found = (first..first + 40).find(|seed| schedule(*seed, 6, Some(seeded_defect)).is_err());
+            let seed = found.unwrap_or_else(|| panic!("{seeded_defect:?} is not found from seed {first} on"));
             // And it is the mistake that was found.
             assert_eq!(schedule(seed, 6, None), Ok(()));
         }
@@ -214,7 +214,7 @@
                 let shares = world.shares();
                 let each = world.up().into_iter().map(|n| {
                     let view = world.nodes[n].members.view(sparlug::time::Time::ORIGIN);
-                    format!("{n}: {} of {} there, by {}", view.alive, view.expected, view.counted)
+                    format!("{n}: {} of {} there, by {}", view.alive, view.expected, view.member_count)
                 });
                 let each = || each.collect::<Vec<_>>().join("; ");
                 assert!(
@@ -261,7 +261,7 @@
     world.freeze(3, 20 * S);
     world.play(20 * S);
     assert!(world.until_agreed(10 * S).is_some());
-    assert!((0..30).all(|n| world.holds(3, n).is_none_or(|state| state.is_there())));
+    assert!((0..30).all(|n| world.holds(3, n).is_none_or(|state| state.is_present())));
     // It restarts at once under its name and address: nobody holds the new life dead for the old one.
     world.kill(4);
     world.start(4);
--- a/crates/fleet/tests/wire.rs
+++ b/crates/fleet/tests/wire.rs
@@ -4,38 +4,40 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use sparlug_fleet::duties::{Letter, ANSWERED_MOST, ASKED_MOST};
+use sparlug_fleet::duties::{DutyMessage, ANSWERED_MOST, ASKED_MOST};
 use sparlug_fleet::leases::Answer;
-use sparlug_fleet::wire::{decode, encode, pieces, Bad, Body, Entry, Message, State, MOST, VERSION};
+use sparlug_fleet::wire::{
+    decode, encode, pieces, Bad, Body, Entry, Message, State, MAX_DATAGRAM_BYTES, VERSION,
+};
 
 fn entry() -> impl Strategy<Value = Entry> {
     let states = prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Dead), Just(State::Left)];
     let address =
         (1..255u8, any::<u8>(), 1..u16::MAX).prop_map(|(a, d, port)| SocketAddr::from(([a, 0, 0, d], port)));
     ("[a-z/0-9-]{1,64}", address, "[a-z]{0,64}", states, any::<u64>(), any::<u64>(), any::<u32>()).prop_map(
-        |(name, address, zone, state, incarnation, life, by)| Entry {
+        |(name, address, zone, state, incarnation, generation, by)| Entry {
             name,
             address,
             zone,
             state,
             incarnation,
-            life,
+            generation,
             by,
         },
     )
 }
 
-fn letter() -> impl Strategy<Value = Letter> {
+fn letter() -> impl Strategy<Value = DutyMessage> {
     let pairs = || prop::collection::vec((any::<u64>(), any::<u64>()), 0..=ASKED_MOST);
     let answer = (any::<u64>(), any::<bool>(), any::<u64>(), "[a-z]{0,64}", any::<u32>())
         .prop_map(|(duty, granted, term, holder, left_ms)| Answer { duty, granted, term, holder, left_ms });
     prop_oneof![
         (any::<u32>(), any::<u32>(), prop::collection::vec(any::<u32>(), 0..=2), pairs())
-            .prop_map(|(seq, lease_ms, marks, duties)| Letter::Ask { seq, lease_ms, marks, duties }),
+            .prop_map(|(seq, lease_ms, marks, duties)| DutyMessage::Ask { seq, lease_ms, marks, duties }),
         (any::<u32>(), prop::collection::vec(answer, 0..=ANSWERED_MOST))
-            .prop_map(|(seq, answers)| Letter::Answer { seq, answers }),
-        pairs().prop_map(|duties| Letter::Release { duties }),
-        prop::collection::vec(any::<u64>(), 0..=ASKED_MOST).prop_map(|duties| Letter::Free { duties }),
+            .prop_map(|(seq, answers)| DutyMessage::Answer { seq, answers }),
+        pairs().prop_map(|duties| DutyMessage::Release { duties }),
+        prop::collection::vec(any::<u64>(), 0..=ASKED_MOST).prop_map(|duties| DutyMessage::Free { duties }),
     ]
 }
 
@@ -66,7 +68,7 @@
     #[test]
     fn each_is_read_as_it_was_written(message in message()) {
         let bytes = encode(&message);
-        prop_assert!(bytes.len() <= MOST);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(decode(&bytes), Ok(message));
     }
 
@@ -106,7 +108,7 @@
         prop_assert_eq!(pieces.concat(), entries);
         for entries in pieces {
             let length = encode(&Message { body: Body::Table { ask: false, entries }, ..bare.clone() }).len();
-            prop_assert!(length <= MOST);
+            prop_assert!(length <= MAX_DATAGRAM_BYTES);
         }
     }
 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -10,9 +10,9 @@
 use sparlug::id::PeerId;
 use sparlug::time::Time;
 use sparlug_fleet::duties::{self, Duties};
-use sparlug_fleet::members::{Action, Event, Members, Settings};
+use sparlug_fleet::membership::{Action, Event, Membership, Settings};
 use sparlug_fleet::view::View;
-use sparlug_fleet::wire::MOST;
+use sparlug_fleet::wire::MAX_DATAGRAM_BYTES;
 
 use crate::deadlines::DeadlineId;
 use crate::shared::{IoContext, Owner, TimerEvent};
@@ -31,7 +31,7 @@
 }
 
 struct On {
-    members: Members,
+    members: Membership,
     /// What only one of the members does, where that is configured.
     duties: Option<Duties>,
     duties_wake: Option<DeadlineId>,
@@ -52,7 +52,7 @@
 
 /// A number for a name that stays the same whoever comes and goes. (FNV-1a, 64 bits, the lowest left out.)
 pub fn ordinal(name: &str) -> usize {
-    (duties::fnv(name.bytes()) >> 1) as usize
+    (duties::fnv1a(name.bytes()) >> 1) as usize
 }
 
 impl Fleet {
@@ -72,7 +72,7 @@
                 seeds: found.seeds.clone(),
                 expected: found.expected,
                 instances,
-                plant: None,
+                seeded_defect: None,
             };
             (settings, found.address, shared)
         });
@@ -98,14 +98,14 @@
         // Each life draws anew, also where the seed is given.
         let seed = self.seed ^ io.now.since(Time::ORIGIN).ms().to_bits();
         let (name, own) = (settings.name.clone(), settings.address);
-        let members = Members::new(settings, seed, io.now);
-        let plan = self.duties.clone().map(|found| duties::Plan {
+        let members = Membership::new(settings, seed, io.now);
+        let plan = self.duties.clone().map(|found| duties::Settings {
             duties: found.names,
             lease: found.lease,
             voters: found.voters,
             name,
             address: own,
-            life: members.life(),
+            generation: members.generation(),
             seed: seed.rotate_left(32),
         });
         let duties = plan.map(|plan| Duties::new(plan, io.now));
@@ -124,10 +124,10 @@
         machine.handle(io.now, event, &mut actions);
         for action in actions {
             match action {
-                duties::Action::Send { to, letter } => {
-                    self.handle(Event::Post(to, letter), io);
+                duties::Action::Send { to, message: letter } => {
+                    self.handle(Event::SendDutyMessage(to, letter), io);
                 }
-                duties::Action::Wake(at) => {
+                duties::Action::SetTimer(at) => {
                     let Some(on) = &mut self.on else { return };
                     io.deadlines.cancel(on.duties_wake.take());
                     on.duties_wake = Some(io.deadlines.set(at, TimerEvent::Duties));
@@ -141,16 +141,16 @@
         if let Some(on) = &mut self.on {
             on.duties_wake = None;
         }
-        self.duty(duties::Event::Due, io);
+        self.duty(duties::Event::TimerExpired, io);
     }
 
     /// Hands the view on to the duties.
     fn see(&mut self, io: &mut IoContext) {
         let Some(on) = self.on.as_ref().filter(|on| on.duties.is_some()) else { return };
         let view = on.members.view(io.now);
-        let there = view.members.into_iter().filter(|seen| seen.state.is_there());
+        let there = view.members.into_iter().filter(|seen| seen.state.is_present());
         let there = there.map(|seen| (seen.name, seen.address)).collect();
-        self.duty(duties::Event::Crowd { there, kept_out: view.kept_out }, io);
+        self.duty(duties::Event::MembersChanged { present: there, excluded: view.excluded }, io);
     }
 
     /// Whether another process with this one's name and address may be there, and vote.
@@ -158,15 +158,16 @@
         let ended = self.beside && !beside;
         self.beside = beside;
         if beside || ended {
-            self.duty(duties::Event::Beside(beside), io);
+            self.duty(duties::Event::ProcessOverlap(beside), io);
         }
     }
 
     /// Staff pause a duty here, or allow it again. `false`: it is none that is configured.
     pub fn set_duty_paused(&mut self, duty: &str, paused: bool, io: &mut IoContext) -> bool {
-        let known = self.on.as_ref().and_then(|on| on.duties.as_ref()).is_some_and(|all| all.knows(duty));
+        let known =
+            self.on.as_ref().and_then(|on| on.duties.as_ref()).is_some_and(|all| all.is_configured(duty));
         if known {
-            self.duty(duties::Event::Pause { duty, paused }, io);
+            self.duty(duties::Event::SetPaused { duty, paused }, io);
         }
         known
     }
@@ -182,18 +183,18 @@
                         tracing::debug!(%error, %to, "a message to the fleet is lost");
                     }
                 }
-                Action::Wake(at) => {
+                Action::SetTimer(at) => {
                     io.deadlines.cancel(on.wake.take());
                     on.wake = Some(io.deadlines.set(at, TimerEvent::Fleet));
                 }
                 Action::Log(text) => tracing::info!("{text}"),
-                Action::Word { from, bytes } => {
+                Action::PeerMessage { from, bytes } => {
                     told.push(FleetEvent::PeerMessage(PeerId(ordinal(&from) as u16), bytes))
                 }
-                Action::Letter(from, letter) => letters.push((from, letter)),
-                Action::Changed => {
+                Action::DutyMessage(from, letter) => letters.push((from, letter)),
+                Action::ViewChanged => {
                     changed = true;
-                    let counted = on.members.counted();
+                    let counted = on.members.member_count();
                     if counted != on.counted {
                         on.counted = counted;
                         told.push(FleetEvent::MemberCountChanged(counted));
@@ -205,7 +206,7 @@
             self.see(io);
         }
         for (from, letter) in letters {
-            self.duty(duties::Event::Heard { from: &from, letter }, io);
+            self.duty(duties::Event::MessageReceived { from: &from, message: letter }, io);
         }
         told
     }
@@ -214,17 +215,19 @@
         if let Some(on) = &mut self.on {
             on.wake = None;
         }
-        self.handle(Event::Due, io)
+        self.handle(Event::TimerExpired, io)
     }
 
     /// What has come from others; a few at a time, so that a flood keeps nobody else waiting.
     pub fn receive(&mut self, io: &mut IoContext) -> Vec<FleetEvent> {
         let mut told = Vec::new();
-        let mut buffer = [0; MOST + 1]; // a longer message is none of ours
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1]; // a longer message is none of ours
         for _ in 0..AT_ONCE {
             let Some(on) = &self.on else { return told };
             match on.socket.recv_from(&mut buffer) {
-                Ok((length, from)) => told.extend(self.handle(Event::Heard(&buffer[..length], from), io)),
+                Ok((length, from)) => {
+                    told.extend(self.handle(Event::DatagramReceived(&buffer[..length], from), io))
+                }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return told,
                 // One that is down shows here, as the refusal of an earlier message.
                 Err(_) => {}
@@ -241,7 +244,7 @@
 
     /// Says something to one of the members that are there, chosen by a number.
     pub fn send_to_member(&mut self, nth: usize, bytes: Vec<u8>, io: &mut IoContext) {
-        self.handle(Event::Tell { nth, bytes }, io);
+        self.handle(Event::SendPeerMessage { member_index: nth, bytes }, io);
     }
 
     /// Tells others that it goes.
@@ -271,20 +274,20 @@
         let members = view.members.iter().map(|seen| {
             serde_json::json!({
                 "name": seen.name, "address": seen.address, "zone": seen.zone, "state": seen.state.name(),
-                "incarnation": seen.incarnation, "since_ms": seen.since.ms().round(),
+                "incarnation": seen.incarnation, "since_ms": seen.state_age.ms().round(),
             })
         });
-        let shown = self.on.as_ref().and_then(|on| on.duties.as_ref()).map(|all| all.shown(now));
+        let shown = self.on.as_ref().and_then(|on| on.duties.as_ref()).map(|all| all.statuses(now));
         let duties = shown.unwrap_or_default().into_iter().map(|duty| {
             serde_json::json!({
                 "name": duty.name, "holder": duty.holder, "term": duty.term, "held_here": duty.held_here,
-                "left_ms": duty.left.ms().round(), "paused": duty.paused,
+                "left_ms": duty.remaining.ms().round(), "paused": duty.paused,
             })
         });
         let json = serde_json::json!({
-            "fleet": view.fleet, "self": view.me, "members": members.collect::<Vec<_>>(), "alive": view.alive,
-            "expected": view.expected, "majority": view.majority, "counted": view.counted,
-            "kept_out": view.kept_out, "duties": duties.collect::<Vec<_>>(),
+            "fleet": view.fleet, "self": view.local_name, "members": members.collect::<Vec<_>>(), "alive": view.alive,
+            "expected": view.expected, "majority": view.has_majority, "counted": view.member_count,
+            "kept_out": view.excluded, "duties": duties.collect::<Vec<_>>(),
         });
         Some(format!("{json}\n"))
     }
@@ -297,36 +300,39 @@
         for (name, value) in [
             ("alive", view.alive),
             ("expected", view.expected),
-            ("counted", view.counted),
-            ("majority", usize::from(view.majority)),
-            ("kept_out", usize::from(view.kept_out)),
+            ("counted", view.member_count),
+            ("majority", usize::from(view.has_majority)),
+            ("kept_out", usize::from(view.excluded)),
         ] {
             let _ = writeln!(text, "svc.fleet.{name}:{value}|g");
         }
         for (name, count) in [
             ("sent", c.sent),
-            ("heard", c.heard),
+            ("heard", c.received),
             ("foreign", c.foreign),
             ("newer", c.newer),
-            ("garbled", c.garbled),
+            ("garbled", c.corrupted),
             ("unknown_kind", c.unknown_kind),
-            ("senseless", c.senseless),
+            ("senseless", c.invalid),
             ("other_fleet", c.other_fleet),
             ("misdirected", c.misdirected),
-            ("too_many", c.too_many),
+            ("too_many", c.over_capacity),
             ("refuted", c.refuted),
-            ("held_dead", c.held_dead),
-            ("slept", c.slept),
+            ("held_dead", c.declared_dead),
+            ("slept", c.pauses),
         ] {
             let _ = writeln!(text, "svc.fleet.{name}:{count}|c");
         }
         if let Some(all) = &on.duties {
-            let held = all.shown(now).iter().filter(|duty| duty.held_here).count();
+            let held = all.statuses(now).iter().filter(|duty| duty.held_here).count();
             let _ = writeln!(text, "svc.fleet.duties_held:{held}|g");
             let c = all.counts;
-            for (name, count) in
-                [("taken", c.taken), ("lost", c.lost), ("given", c.given), ("other_voters", c.other_voters)]
-            {
+            for (name, count) in [
+                ("taken", c.acquired),
+                ("lost", c.lost),
+                ("given", c.released),
+                ("other_voters", c.voter_mismatches),
+            ] {
                 let _ = writeln!(text, "svc.fleet.duties_{name}:{count}|c");
             }
         }
