--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -1,13 +1,13 @@
-//! Where the body of a message ends, found from pieces of any size. Its bytes are looked at and never changed.
+//! Finds the end of an HTTP message body, incrementally and without changing its bytes.
 
 use httparse::Status;
 
-/// The largest body, without its framing, that is passed on in either direction.
+/// Largest request or response body that is forwarded, without its framing.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-const LINE_MOST: u32 = 256; // of a chunk's size and extensions
-const TRAILER_MOST: u32 = 16 * 1024;
+const MAX_CHUNK_LINE_BYTES: u32 = 256; // a chunk's size and its extensions
+const MAX_TRAILER_BYTES: u32 = 16 * 1024;
 
-/// Why a message can't be used.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
     Malformed,
@@ -18,6 +18,7 @@
 }
 
 impl HttpError {
+    /// The status of the response that tells the client of the error.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
@@ -29,7 +30,7 @@
     }
 }
 
-/// How far a body reaches.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     Length(u64),
@@ -37,48 +38,49 @@
     UntilClose,
 }
 
-/// What the next byte is.
+/// What the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
-    /// One of so many that are left, of the body or of a chunk.
-    Plain(u64),
-    /// The connection's end is the body's.
+enum ParseState {
+    /// The data of the body or of a chunk, with this many bytes left.
+    Data(u64),
+    /// The data of a body that ends when the connection closes.
     UntilClose,
-    /// Of a chunk's size, which so far is this, in so many digits.
-    Size(u64, u32),
-    /// Of what may follow a size, after so many bytes of the line.
-    Extension(u64, u32),
-    /// The line feed behind a chunk's size.
-    SizeEnd(u64),
-    /// The two bytes behind a chunk.
-    ChunkEnd(u8),
-    /// Of the trailer: bytes of this line so far, and of all lines.
+    /// A chunk's size: its value so far, and the number of digits.
+    ChunkSize(u64, u32),
+    /// A chunk's extensions: the chunk's size, and the bytes of the line so far.
+    ChunkExtension(u64, u32),
+    /// The line feed after a chunk's size.
+    ChunkSizeEnd(u64),
+    /// The CR or LF after a chunk's data; holds the one that is expected.
+    ChunkDataEnd(u8),
+    /// The trailer: bytes of the current line so far, and of all lines.
     Trailer(u32, u32),
-    /// The line feed of a line of the trailer.
+    /// The line feed of a trailer line.
     TrailerEnd(u32, u32),
-    Nothing,
+    /// The body is complete.
+    Done,
 }
 
-/// A body that is coming in.
+/// Parser of a body that is being received.
 #[derive(Clone, Copy, Debug)]
 pub struct Body {
     framing: Framing,
-    next: Next,
-    /// How much of what is at hand was looked at.
-    at: usize,
-    /// How long it is as far as is known, without its framing.
+    state: ParseState,
+    /// How many of the buffered bytes were parsed.
+    parsed: usize,
+    /// The body's length without its framing, as far as it is known.
     size: u64,
 }
 
 impl Body {
     pub fn new(framing: Framing) -> Body {
-        let (next, size) = match framing {
-            Framing::Length(0) => (Next::Nothing, 0),
-            Framing::Length(length) => (Next::Plain(length), length),
-            Framing::Chunked => (Next::Size(0, 0), 0),
-            Framing::UntilClose => (Next::UntilClose, 0),
+        let (state, size) = match framing {
+            Framing::Length(0) => (ParseState::Done, 0),
+            Framing::Length(length) => (ParseState::Data(length), length),
+            Framing::Chunked => (ParseState::ChunkSize(0, 0), 0),
+            Framing::UntilClose => (ParseState::UntilClose, 0),
         };
-        Body { framing, next, at: 0, size }
+        Body { framing, state, parsed: 0, size }
     }
 
     pub fn ends_at_close(&self) -> bool {
@@ -90,60 +92,62 @@
     }
 
     pub fn is_complete(&self) -> bool {
-        self.next == Next::Nothing
+        self.state == ParseState::Done
     }
 
-    /// How long it is as far as is known.
+    /// The body's length without its framing, as far as it is known.
     pub fn size(&self) -> u64 {
         self.size
     }
 
-    /// How many of the bytes at hand belong to it, of those that were looked at.
+    /// How many of the buffered bytes belong to the body, of those that were parsed.
     pub fn parsed_len(&self) -> usize {
-        self.at
+        self.parsed
     }
 
-    /// Looks at all of the body's bytes so far; how many belong to it once it is whole. `most` bounds its size.
+    /// Parses `bytes`, all of the body's bytes so far, of which earlier calls may have seen the first part.
+    /// Returns the number of bytes that belong to the body once it is complete. `ended` tells that the
+    /// connection has closed; a body larger than `max_size` is an error.
     pub fn parse_buffered(
         &mut self,
         bytes: &[u8],
         ended: bool,
-        most: usize,
+        max_size: usize,
     ) -> Result<Option<usize>, HttpError> {
-        self.at += self.parse(bytes.get(self.at..).unwrap_or_default())?;
-        if self.size > most as u64 {
+        self.parsed += self.parse(bytes.get(self.parsed..).unwrap_or_default())?;
+        if self.size > max_size as u64 {
             return Err(HttpError::BodyTooLarge);
         }
-        if ended && self.next == Next::UntilClose {
-            self.next = Next::Nothing;
+        if ended && self.state == ParseState::UntilClose {
+            self.state = ParseState::Done;
         }
-        Ok(self.is_complete().then_some(self.at))
+        Ok(self.is_complete().then_some(self.parsed))
     }
 
-    /// Looks at the next bytes of the body; how many of them belong to it.
+    /// Parses the next bytes and returns how many of them belong to the body.
     pub fn parse(&mut self, bytes: &[u8]) -> Result<usize, HttpError> {
         let mut at = 0;
         while at < bytes.len() {
             let (rest, byte) = ((bytes.len() - at) as u64, bytes[at]);
-            match self.next {
-                Next::Nothing => break,
-                Next::UntilClose => {
+            match self.state {
+                ParseState::Done => break,
+                ParseState::UntilClose => {
                     self.size += rest;
                     if self.size > MAX_BODY_BYTES {
                         return Err(HttpError::BodyTooLarge);
                     }
                     return Ok(bytes.len());
                 }
-                Next::Plain(left) => {
+                ParseState::Data(left) => {
                     at += rest.min(left) as usize;
-                    self.next = match (left.checked_sub(rest).filter(|left| *left > 0), self.framing) {
-                        (Some(left), _) => Next::Plain(left),
-                        (None, Framing::Chunked) => Next::ChunkEnd(b'\r'),
-                        (None, _) => Next::Nothing,
+                    self.state = match (left.checked_sub(rest).filter(|left| *left > 0), self.framing) {
+                        (Some(left), _) => ParseState::Data(left),
+                        (None, Framing::Chunked) => ParseState::ChunkDataEnd(b'\r'),
+                        (None, _) => ParseState::Done,
                     };
                 }
-                framing => {
-                    self.next = self.framing_byte(framing, byte)?;
+                state => {
+                    self.state = self.next_state(state, byte)?;
                     at += 1;
                 }
             }
@@ -151,58 +155,66 @@
         Ok(at)
     }
 
-    /// What follows a byte of the chunks' own framing.
-    fn framing_byte(&mut self, next: Next, byte: u8) -> Result<Next, HttpError> {
-        Ok(match (next, byte) {
-            (Next::Size(size, digits), _) if byte.is_ascii_hexdigit() => {
+    /// The state after one byte of chunk framing.
+    fn next_state(&mut self, state: ParseState, byte: u8) -> Result<ParseState, HttpError> {
+        Ok(match (state, byte) {
+            (ParseState::ChunkSize(size, digits), _) if byte.is_ascii_hexdigit() => {
                 let digit = char::from(byte).to_digit(16).unwrap_or_default();
-                // Guards against a size that wraps round to another one.
+                // A size that overflows would wrap round to a smaller one.
                 let size = size.checked_mul(16).ok_or(HttpError::BodyTooLarge)? + u64::from(digit);
                 if digits >= 16 {
                     return Err(HttpError::Malformed);
                 }
-                Next::Size(size, digits + 1)
+                ParseState::ChunkSize(size, digits + 1)
             }
-            (Next::Size(_, 0), _) => return Err(HttpError::Malformed),
-            (Next::Size(size, _), b'\r') => Next::SizeEnd(size),
-            (Next::Size(size, digits), b';' | b' ' | b'\t') => Next::Extension(size, digits + 1),
-            (Next::Extension(size, _), b'\r') => Next::SizeEnd(size),
-            (Next::Extension(size, length), _) if length < LINE_MOST && (byte == b'\t' || byte >= b' ') => {
-                Next::Extension(size, length + 1)
+            (ParseState::ChunkSize(_, 0), _) => return Err(HttpError::Malformed),
+            (ParseState::ChunkSize(size, _), b'\r') => ParseState::ChunkSizeEnd(size),
+            (ParseState::ChunkSize(size, digits), b';' | b' ' | b'\t') => {
+                ParseState::ChunkExtension(size, digits + 1)
             }
-            (Next::SizeEnd(0), b'\n') => Next::Trailer(0, 0),
-            (Next::SizeEnd(size), b'\n') => {
+            (ParseState::ChunkExtension(size, _), b'\r') => ParseState::ChunkSizeEnd(size),
+            (ParseState::ChunkExtension(size, length), _)
+                if length < MAX_CHUNK_LINE_BYTES && (byte == b'\t' || byte >= b' ') =>
+            {
+                ParseState::ChunkExtension(size, length + 1)
+            }
+            (ParseState::ChunkSizeEnd(0), b'\n') => ParseState::Trailer(0, 0),
+            (ParseState::ChunkSizeEnd(size), b'\n') => {
                 self.size = self.size.saturating_add(size);
                 if self.size > MAX_BODY_BYTES {
                     return Err(HttpError::BodyTooLarge);
                 }
-                Next::Plain(size)
+                ParseState::Data(size)
+            }
+            (ParseState::ChunkDataEnd(b'\r'), b'\r') => ParseState::ChunkDataEnd(b'\n'),
+            (ParseState::ChunkDataEnd(b'\n'), b'\n') => ParseState::ChunkSize(0, 0),
+            (ParseState::Trailer(_, total), _) if total > MAX_TRAILER_BYTES => {
+                return Err(HttpError::HeadTooLarge)
+            }
+            (ParseState::Trailer(line, total), b'\r') => ParseState::TrailerEnd(line, total + 1),
+            (ParseState::Trailer(line, total), _) if byte != b'\n' => {
+                ParseState::Trailer(line + 1, total + 1)
             }
-            (Next::ChunkEnd(b'\r'), b'\r') => Next::ChunkEnd(b'\n'),
-            (Next::ChunkEnd(b'\n'), b'\n') => Next::Size(0, 0),
-            (Next::Trailer(_, all), _) if all > TRAILER_MOST => return Err(HttpError::HeadTooLarge),
-            (Next::Trailer(line, all), b'\r') => Next::TrailerEnd(line, all + 1),
-            (Next::Trailer(line, all), _) if byte != b'\n' => Next::Trailer(line + 1, all + 1),
-            (Next::TrailerEnd(0, _), b'\n') => Next::Nothing,
-            (Next::TrailerEnd(_, all), b'\n') => Next::Trailer(0, all + 1),
+            (ParseState::TrailerEnd(0, _), b'\n') => ParseState::Done,
+            (ParseState::TrailerEnd(_, total), b'\n') => ParseState::Trailer(0, total + 1),
             _ => return Err(HttpError::Malformed),
         })
     }
 
-    /// The body of a whole message without its framing.
+    /// The content of a complete body, without its framing.
     pub fn decode(&self, bytes: &[u8]) -> Vec<u8> {
         if self.framing != Framing::Chunked {
             return bytes.to_vec();
         }
-        let (mut plain, mut at) = (Vec::new(), 0);
+        let (mut content, mut at) = (Vec::new(), 0);
         while let Ok(Status::Complete((line, size))) = httparse::parse_chunk_size(&bytes[at..]) {
             let (start, size) = (at + line, size as usize);
             match bytes.get(start..start + size) {
-                Some(chunk) if size > 0 => plain.extend_from_slice(chunk),
+                Some(chunk) if size > 0 => content.extend_from_slice(chunk),
                 _ => break,
             }
             at = start + size + 2;
         }
-        plain
+        content
     }
 }
--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -1,26 +1,27 @@
-//! Why a client's connection was closed, and how many were closed with an answer still owed.
+//! Why client connections are closed, and counts of those closed before their response was complete.
 
 use std::fmt::{self, Write};
 
+/// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client closed its side.
     ByClient,
-    /// Reading failed.
+    /// Reading from the client failed.
     ReadFailed,
-    /// Writing failed.
+    /// Writing to the client failed.
     WriteFailed,
-    /// The backend's answer broke off after a part of it was passed on.
+    /// The backend's response broke off after a part of it was forwarded.
     AnswerBroke,
-    /// The client did not take its answer in time.
+    /// The client did not read its response in time.
     AnswerNotTaken,
-    /// Its place was needed for a new connection.
+    /// The connection was closed to make room for a new one.
     MadeRoom,
-    /// The last answer was read, or the time for that is over.
+    /// The client read the last response, or the time to do so is over.
     Done,
 }
 
-const REASONS: [CloseReason; 7] = [
+const CLOSE_REASONS: [CloseReason; 7] = [
     CloseReason::ByClient,
     CloseReason::ReadFailed,
     CloseReason::WriteFailed,
@@ -44,21 +45,21 @@
     }
 }
 
-/// Connections that were closed before an answer that was owed was written whole, by reason.
+/// Counts, by reason, the connections that were closed before a pending response was completely written.
 #[derive(Default)]
-pub struct Unanswered {
-    counts: [u64; REASONS.len()],
+pub struct UnansweredCounts {
+    counts: [u64; CLOSE_REASONS.len()],
 }
 
-impl Unanswered {
+impl UnansweredCounts {
     pub fn count(&mut self, reason: CloseReason) {
         self.counts[reason as usize] += 1;
     }
 
-    /// The counts in the form that operators read, a figure a line.
+    /// The counts as metrics, one per line.
     pub fn report(&self) -> String {
         let mut text = String::new();
-        for reason in REASONS {
+        for reason in CLOSE_REASONS {
             let count = self.counts[reason as usize];
             let _ = writeln!(text, "svc.closed_unanswered.{}:{count}|c", reason.name());
         }
@@ -66,10 +67,10 @@
     }
 }
 
-impl fmt::Display for Unanswered {
+impl fmt::Display for UnansweredCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut counted = REASONS.into_iter().filter(|reason| self.counts[*reason as usize] > 0);
-        counted.try_for_each(|reason| {
+        let mut non_zero = CLOSE_REASONS.into_iter().filter(|reason| self.counts[*reason as usize] > 0);
+        non_zero.try_for_each(|reason| {
             write!(f, " unanswered_{}={}", reason.name(), self.counts[reason as usize])
         })
     }
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,15 +1,17 @@
-//! What the proxy has taken in, sent and answered since its start, printed on request and at the end.
+//! Counts of what the proxy received, sent and answered since its start, for `/metrics` and for the log.
 
 use std::fmt::{self, Write};
 
 use sparlug::event::Outcome;
 
-use crate::close_reason::Unanswered;
+use crate::close_reason::UnansweredCounts;
 use crate::io_failures::IoFailures;
 use crate::logging::dropped_lines;
 
+/// Counts since the start of the process.
 #[derive(Default)]
 pub struct Counters {
+    /// Connections accepted from clients.
     pub connections: u64,
     pub requests_received: u64,
     pub bad_input: u64,
@@ -17,48 +19,49 @@
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Answers that nothing was left to give in time.
+    /// Requests that got a 504 because nothing had answered them by their deadline.
     pub overdue: u64,
     pub attempts_started: u64,
     pub checks: u64,
     pub connections_opened: u64,
     pub connections_reused: u64,
-    /// Messages of peers.
+    /// Messages received from peers.
     pub peer_messages: u64,
     pub lists_received: u64,
     pub lists_failed: u64,
-    /// Lists that were odd in some way, whether or not they were taken over.
+    /// Backend lists with suspicious contents, whether or not they were applied.
     pub suspicious_lists: u64,
-    /// Forwards whose last byte was written.
+    /// Attempts whose last byte was written.
     pub attempts_sent: u64,
     pub failures: IoFailures,
-    pub closed_unanswered: Unanswered,
+    pub closed_unanswered: UnansweredCounts,
+    /// Attempts by `Outcome`.
     outcomes: [u64; 11],
-    /// How callers' requests ended, by class: served, refused, failed.
-    classes: Vec<[u64; 3]>,
+    /// Clients' requests by class and result: served, refused, failed.
+    results_by_class: Vec<[u64; 3]>,
 }
 
 impl Counters {
-    /// A request of a class has its answer, and with it its one end.
+    /// Counts the result of a request by the status of its response; each request is counted once.
     pub fn count_response(&mut self, class: Option<u16>, status: u16) {
         let Some(class) = class.map(usize::from) else { return };
-        if self.classes.len() <= class {
-            self.classes.resize(class + 1, [0; 3]);
+        if self.results_by_class.len() <= class {
+            self.results_by_class.resize(class + 1, [0; 3]);
         }
-        let end = match status {
+        let result = match status {
             200 => 0,
             429 | 503 => 1,
             _ => 2,
         };
-        self.classes[class][end] += 1;
+        self.results_by_class[class][result] += 1;
     }
 
-    /// The counts in the form that operators read, a figure a line.
+    /// The counts as metrics, one per line.
     pub fn report(&self, classes: &[String]) -> String {
         let mut text = String::new();
-        for (place, class) in classes.iter().enumerate() {
-            let ends = self.classes.get(place).copied().unwrap_or_default();
-            for (name, count) in ["served", "refused", "failed"].iter().zip(ends) {
+        for (index, class) in classes.iter().enumerate() {
+            let results = self.results_by_class.get(index).copied().unwrap_or_default();
+            for (name, count) in ["served", "refused", "failed"].iter().zip(results) {
                 let _ = writeln!(text, "svc.requests.{class}.{name}:{count}|c");
             }
         }
