--- a/src/backend_sampler.rs
+++ b/src/backend_sampler.rs
@@ -1,118 +1,135 @@
-//! The ids of all listed backends, to draw random ones from; it decides nothing about them.
+//! Random selection among the ids of all listed backends, and the home backends of a key by rendezvous
+//! hashing.
 
 use oorandom::Rand32;
 
 use crate::event::Listing;
 use crate::id::{BackendId, ZoneId};
 
-/// How many random places are looked at, so that the work of a draw does not grow with the fleet.
-const DRAWS: usize = 40;
+/// How many random entries a search looks at, so that the cost of a selection does not grow with the fleet.
+const MAX_DRAWS: usize = 40;
 
-/// All ids and those nearby, in the order in which one instance keeps to them.
+/// All backend ids, and those of the instance's own zone, each with its size, in this instance's order of
+/// preference.
 #[derive(Debug, Default)]
 pub struct BackendSampler {
     all: Vec<(BackendId, f64)>,
-    near: Vec<(BackendId, f64)>,
-    largest: f64,
-    width: usize,
+    same_zone: Vec<(BackendId, f64)>,
+    largest_size: f64,
+    subset_size: usize,
 }
 
-/// An even mix of two numbers, the same at every instance (SplitMix64's last steps).
-fn mix(of: u64, with: u64) -> u64 {
-    let mut z = of.wrapping_add(with.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(0x9e37_79b9_7f4a_7c15);
+/// Mixes two numbers evenly, with the same result at every instance (the last steps of SplitMix64).
+fn hash_pair(value: u64, seed: u64) -> u64 {
+    let mut z =
+        value.wrapping_add(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ z >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ z >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ z >> 31
 }
 
-/// Rendezvous hashing: the lower the mark, the rather is this backend a home of what `of` stands for. A larger
-/// one gets a low mark in proportion to its size, and no mark depends on which others are listed.
-fn mark(of: u64, backend: BackendId, size: f64) -> f64 {
+/// Rendezvous hashing: the lower the score, the more this backend is preferred for `key`. Larger backends get
+/// a low score in proportion to their size, and no score depends on which other backends are listed.
+fn rendezvous_score(key: u64, backend: BackendId, size: f64) -> f64 {
     let [a, b, c, d] = backend.address.map(u64::from);
     let id = a << 40 | b << 32 | c << 24 | d << 16 | u64::from(backend.port);
-    let even = ((mix(mix(0, id), of) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
-    -even.ln() / size
+    let uniform = ((hash_pair(hash_pair(0, id), key) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
+    -uniform.ln() / size
 }
 
 impl BackendSampler {
-    /// From all listings. The part that the instance keeps to is the first `width` of its own order, which
-    /// moves by one id for each that comes or goes.
+    /// Takes all listings. The instance's subset is the first `subset_size` ids of its own order, which
+    /// changes by one id for each backend that comes or goes.
     pub fn new(
         all: impl Iterator<Item = Listing>,
-        own: ZoneId,
-        width: f64,
+        own_zone: ZoneId,
+        subset_size: f64,
         ordinal: usize,
     ) -> BackendSampler {
-        let mut listings: Vec<_> = all.map(|l| (mark(ordinal as u64, l.backend, 1.0), l)).collect();
+        let mut listings: Vec<_> =
+            all.map(|listing| (rendezvous_score(ordinal as u64, listing.backend, 1.0), listing)).collect();
         listings.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let entry = |l: &Listing| (l.backend, l.size);
-        let near = listings.iter().filter(|(_, l)| l.zone == own).map(|(_, l)| entry(l)).collect();
-        let all: Vec<_> = listings.iter().map(|(_, l)| entry(l)).collect();
-        let largest = all.iter().fold(0.0, |largest: f64, (_, size)| largest.max(*size));
-        BackendSampler { all, near, largest, width: width.ceil() as usize }
+        let entry = |listing: &Listing| (listing.backend, listing.size);
+        let same_zone = listings
+            .iter()
+            .filter(|(_, listing)| listing.zone == own_zone)
+            .map(|(_, listing)| entry(listing))
+            .collect();
+        let all: Vec<_> = listings.iter().map(|(_, listing)| entry(listing)).collect();
+        let largest_size = all.iter().fold(0.0, |largest: f64, (_, size)| largest.max(*size));
+        BackendSampler { all, same_zone, largest_size, subset_size: subset_size.ceil() as usize }
     }
 
-    /// How many of the own part are nearby.
-    pub fn nearby(&self) -> usize {
-        self.width.min(self.near.len())
+    /// How many backends of the instance's own zone it chooses from first.
+    pub fn same_zone_count(&self) -> usize {
+        self.subset_size.min(self.same_zone.len())
     }
 
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// The first `most` homes of a key that are open.
-    pub fn homes(&self, key: u64, most: usize, open: impl Fn(BackendId) -> bool) -> Vec<BackendId> {
-        let mut marked: Vec<_> = self.all.iter().map(|(id, size)| (mark(key, *id, *size), *id)).collect();
-        marked.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        marked.into_iter().map(|(_, id)| id).filter(|id| open(*id)).take(most).collect()
+    /// The first `max_count` home backends of a key that are eligible.
+    pub fn homes(
+        &self,
+        key: u64,
+        max_count: usize,
+        is_eligible: impl Fn(BackendId) -> bool,
+    ) -> Vec<BackendId> {
+        let mut scored: Vec<_> =
+            self.all.iter().map(|(id, size)| (rendezvous_score(key, *id, *size), *id)).collect();
+        scored.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
+        scored.into_iter().map(|(_, id)| id).filter(|id| is_eligible(*id)).take(max_count).collect()
     }
 
-    /// Two homes of a key that are open: a random one of the first so many, a part of one by chance, and another of
-    /// them or of the next; and whether that one lies beyond them. Neither is `last`, if there are others.
-    pub fn draw_homes(
+    /// Two eligible homes of a key: a random one of the first `home_count`, whose fraction is rounded up or
+    /// down by chance, and another of these or the next one after them. Also returns whether the second lies
+    /// beyond them. Neither is `last` if there are others.
+    pub fn sample_homes(
         &self,
         rng: &mut Rand32,
         key: u64,
-        so_many: f64,
+        home_count: f64,
         last: Option<BackendId>,
-        open: impl Fn(BackendId) -> bool,
+        is_eligible: impl Fn(BackendId) -> bool,
     ) -> Option<(BackendId, BackendId, bool)> {
-        let wanted = ((so_many + f64::from(rng.rand_float())) as usize).max(1);
-        let mut homes = self.homes(key, wanted + 2, open);
+        let wanted = ((home_count + f64::from(rng.rand_float())) as usize).max(1);
+        let mut homes = self.homes(key, wanted + 2, is_eligible);
         if homes.len() > 1 {
             homes.retain(|id| Some(*id) != last);
         }
-        let first = wanted.min(homes.len());
-        if first == 0 {
+        let available = wanted.min(homes.len());
+        if available == 0 {
             return None;
         }
-        let one = homes.remove(rng.rand_range(0..first as u32) as usize);
-        let place = rng.rand_range(0..first.min(homes.len()).max(1) as u32) as usize;
-        Some((one, homes.get(place).copied().unwrap_or(one), place + 1 >= first))
+        let first = homes.remove(rng.rand_range(0..available as u32) as usize);
+        let index = rng.rand_range(0..available.min(homes.len()).max(1) as u32) as usize;
+        Some((first, homes.get(index).copied().unwrap_or(first), index + 1 >= available))
     }
 
-    /// A random one that is open, a larger one with more chance, of all or of those nearby, and of the own part
-    /// if one there is open. The search is bounded, unless `through_all` asks for one that misses none.
-    pub fn draw(
+    /// A random eligible backend of all or of the own zone, larger ones with more chance, and from the
+    /// instance's subset if one there is eligible. The search is bounded, unless `exhaustive` asks for one
+    /// that misses none.
+    pub fn sample(
         &self,
         rng: &mut Rand32,
-        near: bool,
-        through_all: bool,
-        open: impl Fn(BackendId) -> bool,
+        same_zone: bool,
+        exhaustive: bool,
+        is_eligible: impl Fn(BackendId) -> bool,
     ) -> Option<BackendId> {
-        let ids = if near { &self.near } else { &self.all };
-        if through_all {
-            let found: Vec<_> = ids.iter().filter(|(id, _)| open(*id)).collect();
-            let place = rng.rand_range(0..found.len().max(1) as u32);
-            return found.get(place as usize).map(|(id, _)| *id);
+        let ids = if same_zone { &self.same_zone } else { &self.all };
+        if exhaustive {
+            let found: Vec<_> = ids.iter().filter(|(id, _)| is_eligible(*id)).collect();
+            let index = rng.rand_range(0..found.len().max(1) as u32);
+            return found.get(index as usize).map(|(id, _)| *id);
         }
         let len = ids.len();
-        let widths = [self.width.min(len), len].into_iter().filter(|width| *width > 0);
-        widths.flat_map(|width| [width; DRAWS]).find_map(|width| {
-            let (id, size) = ids[rng.rand_range(0..width as u32) as usize];
-            let kept = size >= self.largest || f64::from(rng.rand_float()) * self.largest < size;
-            Some(id).filter(|id| kept && open(*id))
+        let ranges = [self.subset_size.min(len), len].into_iter().filter(|range| *range > 0);
+        ranges.flat_map(|range| [range; MAX_DRAWS]).find_map(|range| {
+            let (id, size) = ids[rng.rand_range(0..range as u32) as usize];
+            let accepted =
+                size >= self.largest_size || f64::from(rng.rand_float()) * self.largest_size < size;
+            Some(id).filter(|id| accepted && is_eligible(*id))
         })
     }
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! What an instance hears and what it may do.
+//! Events that the decision module takes in, and actions that it asks its host to carry out.
 
 use crate::id::{AttemptNo, BackendId, ClassId, PeerId, PodId, RequestId, TenantId, TimerId, ZoneId};
 use crate::peer_message::Observation;
@@ -7,31 +7,31 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of backends: all of it, or only what changed.
+    /// The list of backends: the full list, or only the entries that changed.
     ListReceived {
         full: bool,
         listings: Vec<Listing>,
     },
-    /// A call for the list failed, or the watch on it ended.
+    /// Fetching the list failed, or the watch on it ended.
     ListFailed,
     RequestReceived(Request),
-    /// The answer of a streamed request has begun; the client holds this attempt from here on.
+    /// The response of a streamed request has started; from here on the client holds this attempt.
     ResponseStarted {
         request: RequestId,
         backend: BackendId,
         took: Span,
     },
     AttemptEnded(AttemptEnd),
-    /// The last byte of a request that was taken before has come, and its time runs from here.
+    /// The last byte of a request that was received earlier has come; its time runs from here.
     RequestComplete {
         request: RequestId,
         deadline: Time,
     },
-    /// An answer that had begun broke off, after its request had ended as served.
+    /// A response that had started broke off, after its request had ended as served.
     ResponseAborted(BackendId),
-    /// This machine can't send to a backend for the moment: its silence says nothing of it.
+    /// This machine can't send to a backend at the moment, so the backend's silence says nothing about it.
     SendFailed(BackendId),
-    /// The client no longer waits; no answer is owed.
+    /// The client no longer waits; no response is owed.
     ClientGone(RequestId),
     TimerExpired(TimerId),
     CheckEnded {
@@ -40,13 +40,13 @@
         took: Span,
         load: Load,
     },
-    /// Staff leave a backend out, or let it serve again, whatever the list says.
+    /// Operators disable a backend or enable it again, whatever the list says.
     SetDisabled {
         backend: BackendId,
         disabled: bool,
     },
-    /// How many instances the tier is to be divided by from here on, and this one's number or name among them. An
-    /// adapter that has nothing to tell of it never says so.
+    /// How many instances share the tier from here on, and this instance's number among them. An adapter
+    /// without this information never sends the event.
     InstancesChanged {
         instances: usize,
         ordinal: usize,
@@ -57,20 +57,21 @@
     },
 }
 
+/// An entry of the list of backends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Listing {
     pub backend: BackendId,
     pub zone: ZoneId,
     pub pod: PodId,
     pub condition: Condition,
-    /// When its process last started; `None` is long ago.
+    /// When its process last started; `None` means long ago.
     pub started: Option<Time>,
-    /// What it can do, to set against other backends' figures.
+    /// Its capacity relative to other backends.
     pub size: f64,
 }
 
 impl Listing {
-    /// Whether it drops repeats of what the other has run, for a class with this group.
+    /// Whether, for a class with this group, this backend drops repeats of requests that the other has run.
     pub fn shares_repeat_group(&self, other: &Listing, group: Group) -> bool {
         match group {
             Group::All => true,
@@ -93,13 +94,13 @@
     pub id: RequestId,
     pub class: ClassId,
     pub tenant: TenantId,
-    /// What it is about; requests with one key belong together.
+    /// Identifies what the request is about; requests with the same key belong together.
     pub key: Option<u64>,
     /// When the client gives this try up.
     pub deadline: Time,
-    /// A rough guess of its work.
+    /// A rough estimate of its work.
     pub cost: Option<Span>,
-    /// Its last byte has come; if not, `RequestComplete` follows, and until then nothing runs.
+    /// Whether its last byte has come. If not, `RequestComplete` follows, and until then nothing runs.
     pub complete: bool,
 }
 
@@ -110,19 +111,19 @@
     pub attempt: AttemptNo,
     pub backend: BackendId,
     pub outcome: Outcome,
-    /// The request has its final answer, by this outcome or earlier.
+    /// The request has its final response, by this outcome or earlier.
     pub answered: bool,
-    /// Its bytes are no longer held, so that it can't be sent again.
+    /// The bytes of the request are no longer buffered, so it can't be sent again.
     pub body_discarded: bool,
     pub took: Span,
     pub load: Load,
 }
 
 impl AttemptEnd {
-    /// The latency that counts for it, if any, and whether it was in time. A full answer counts as a time-out, and
-    /// both as one that had not waited: guards against the short time-outs of what waited long passing for quick
-    /// answers.
-    pub fn sample(&self, target: Span) -> Option<(Span, bool)> {
+    /// The latency to record for this attempt, if any, and whether it was in time. A full backend's refusal
+    /// counts as a time-out, and both count as at least `target` long: requests that had waited long are sent
+    /// with a short time-out, which would otherwise pass for a quick response.
+    pub fn latency_sample(&self, target: Span) -> Option<(Span, bool)> {
         match self.outcome {
             Outcome::Full | Outcome::TimedOut => Some((target.max(self.took), false)),
             Outcome::Served => Some((self.took, self.took < target)),
@@ -130,8 +131,9 @@
         }
     }
 
-    /// Whether it was sent before the backend's process last started, and so tells nothing of that.
-    pub fn precedes(&self, listing: &Listing, now: Time) -> bool {
+    /// Whether the attempt was sent before the backend's process last started, and so says nothing about that
+    /// process.
+    pub fn sent_before_start(&self, listing: &Listing, now: Time) -> bool {
         listing.started.is_some_and(|started| started + self.took > now)
     }
 }
@@ -146,22 +148,23 @@
     Broken,
     Cancelled,
     NotSent,
-    /// Not sent, since the backend takes nothing new.
+    /// Not sent, because the backend accepts nothing new.
     Withdrawn,
-    /// A connection that had stood idle broke under it, which says nothing of the backend. It may have run.
+    /// A connection that had been idle broke under the attempt, which says nothing about the backend. The
+    /// attempt may have run.
     Lost,
-    /// The backend says that the request itself can't be used, which no other backend would change.
+    /// The backend says that the request itself is unusable, which no other backend would change.
     Faulted,
 }
 
 impl Outcome {
-    /// Whether it says neither that the backend does well nor that it fails.
+    /// Whether the outcome says neither that the backend does well nor that it fails.
     pub fn is_neutral(self) -> bool {
         use Outcome::{Cancelled, Faulted, Full, Lost, NotSent, Withdrawn};
         matches!(self, Cancelled | Faulted | Full | Lost | NotSent | Withdrawn)
     }
 
-    /// Whether the request may have run, or may run yet. All that asks this asks here.
+    /// Whether the request may have run, or may still run. This is the only place that decides it.
     pub fn may_have_run(self, settings: &Settings) -> bool {
         match self {
             Outcome::ConnectFailed | Outcome::NotSent | Outcome::Withdrawn => false,
@@ -171,7 +174,8 @@
     }
 }
 
-/// A backend's own report of how many requests it holds and how many of them wait, if it says so.
+/// A backend's own report of how many requests it has in flight and how many of them are queued, as far as it
+/// says.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub in_flight: Option<f64>,
@@ -184,7 +188,7 @@
         request: RequestId,
         backend: BackendId,
         timeout: Span,
-        /// It may not begin from then on: its repeats are dropped no longer.
+        /// The attempt must not start at or after this time, because its repeats are no longer dropped then.
         start_by: Option<Time>,
     },
     Refuse {
@@ -200,7 +204,7 @@
         request: RequestId,
         attempt: AttemptNo,
     },
-    /// The attempt that is out has so much more time from here.
+    /// The running attempt times out this long from now.
     SetTimeout {
         request: RequestId,
         attempt: AttemptNo,
@@ -216,15 +220,16 @@
     CloseIdle {
         backend: BackendId,
     },
-    /// Call off what is on its way to a backend and of which nothing is written, as never sent.
+    /// Call off attempts on their way to a backend of which nothing is written yet; they count as never sent.
     Withdraw {
         backend: BackendId,
     },
-    /// Tell one peer, or all of them.
+    /// Send a message to one peer, or to all of them.
     SendToPeer {
         to: Option<PeerId>,
         bytes: Vec<u8>,
     },
+    /// Start or stop watching the list of backends.
     WatchList {
         on: bool,
     },
@@ -232,54 +237,55 @@
     Log(String),
 }
 
-/// Why a request gets no backend's answer.
+/// Why a request gets no response from a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The limit has no room for it, nor for it to wait.
+    /// The limit has no room for the request, nor for it to wait.
     Overloaded,
-    /// No answer can be expected in the time that is left.
+    /// No response can be expected in the time that is left.
     TooLate,
     /// Its time is over.
     OutOfTime,
-    /// Staff have disabled every backend.
+    /// Operators have disabled every backend.
     AllDisabled,
     /// The proxy itself could not send the attempt.
     NotSent,
-    /// An attempt failed which may have run, and the request may run only once.
+    /// An attempt that may have run failed, and the request may run only once.
     MayHaveRun,
-    /// An attempt failed, and no further one is allowed or paid for.
+    /// An attempt failed, and neither the settings nor the retry budget allow another.
     AttemptsSpent,
 }
 
-/// What a backend's actor finds in its inbox.
-pub(crate) enum BackendNote {
+/// A message in a backend's inbox.
+pub(crate) enum BackendMessage {
     Listed(Listing),
-    Sent,
-    /// An answer of its broke off.
-    Broke,
-    /// What was to be sent to it waits here.
-    Unsent,
-    Began(Span),
-    /// An outcome, and the latency that counts for it, if any: how long, and whether it was in time.
-    Ended(AttemptEnd, Option<(Span, bool)>),
-    /// How a check ended, and the report that came with it.
-    Checked(Outcome, Load),
-    /// What another instance saw of it.
-    Told(Observation),
-    /// It may serve again, after staff had left it out.
-    Back,
+    AttemptSent,
+    /// A response of this backend broke off.
+    ResponseAborted,
+    /// This machine could not send to the backend.
+    SendFailed,
+    ResponseStarted(Span),
+    /// How an attempt ended and the latency to record, if any: how long, and whether it was in time.
+    AttemptEnded(AttemptEnd, Option<(Span, bool)>),
+    /// How a check ended, and the load report that came with it.
+    CheckEnded(Outcome, Load),
+    /// What another instance observed of the backend.
+    PeerObservation(Observation),
+    /// Operators enabled the backend again.
+    Enabled,
     Tick,
 }
 
-/// What the tier's actor finds in its inbox.
+/// A message in the tier's inbox.
 #[derive(Clone)]
-pub(crate) enum TierNote {
-    /// A latency, whether it is that of an answer in time, and whether it was seen whole.
-    Sample(Span, bool, bool),
-    /// 1 for what failed, 0 for what did not, and in which zone.
-    Verdict(f64, ZoneId),
-    /// So much more is in flight at backends that are not out.
-    Holds(f64),
-    /// How many backends are listed as ready, how many of those are out, and the mean of their reports.
-    Tick { ready: f64, out: f64, others: f64, middle: f64, size: f64 },
+pub(crate) enum TierMessage {
+    /// A latency, whether its response came in time, and whether it is exact rather than a lower bound.
+    LatencySample(Span, bool, bool),
+    /// 1 for a failure, 0 for none, and the zone of the backend.
+    FailureSample(f64, ZoneId),
+    /// The change in the number of attempts in flight at backends that are not ejected.
+    InFlightChanged(f64),
+    /// How many backends are listed as ready, how many of those are ejected, the weighted mean and median of
+    /// what they report in flight for others, and their mean size.
+    Tick { ready: f64, ejected: f64, mean_others: f64, median_others: f64, mean_size: f64 },
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,9 +1,9 @@
-//! A type of its own for each kind of id.
+//! A separate type for each kind of id.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Which attempt of a request, counted from 0.
+/// The number of an attempt of a request, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNo(pub u16);
 
@@ -20,23 +20,23 @@
     }
 }
 
-/// A place in the settings' list of classes.
+/// An index into the settings' list of classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub u16);
 
-/// A place in the settings' list of tenants.
+/// An index into the settings' list of tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub u32);
 
 impl TenantId {
-    /// None of those that the settings name.
+    /// No tenant that the settings name.
     pub const NONE: TenantId = TenantId(u32::MAX);
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
 
-/// A small group of backends that know each other's marks against repeats.
+/// A small group of backends that share their records of keys against repeated runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PodId(pub u16);
 
@@ -44,6 +44,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerId(pub u16);
 
-/// Chosen by the decisions when they ask for a timer, and handed back when it is due.
+/// Chosen by the decision module when it sets a timer, and handed back when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! sparlug decides, for one caller's proxy, where each request goes, when it waits and when it is
-//! refused. It does no input or output: a host hands it [`event::Event`]s and carries out the
-//! [`event::Action`]s it returns.
+//! sparlug decides, for the proxy of one calling service, where each request goes, when it waits and when it
+//! is refused. It does no I/O: a host hands it [`event::Event`]s and carries out the [`event::Action`]s that
+//! it returns.
 //!
 //! ```
 //! use sparlug::event::{Action, Condition, Event, Request, Listing};
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,9 +1,9 @@
-//! All decisions of an instance: where a request goes, when it waits, when it is refused.
-//! Make one [`Balancer`] with the instance's settings, then hand it every event in order; it appends what is
-//! to be done. The ordinary path is the design of `docs/design.md`, which tells what stands beside it.
+//! All decisions of an instance: where a request goes, when it waits, when it is refused. Make one
+//! [`Balancer`] with the instance's settings, then hand it every event in order; it appends the actions to
+//! carry out. The basic algorithm is that of `docs/design.md`, which also describes what was added to it.
 //!
-//! Each backend is an actor, and so are the tier's limit and the desk that holds the requests. They change
-//! each other only by notes, which one loop, in [`Balancer::handle`], hands out; `state.rs` has their memory.
+//! Each backend is an actor, and so are the tier with its limit and the queue of requests. They change each
+//! other only by messages, which one loop in [`Balancer::handle`] delivers; their state is in `state.rs`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::take;
@@ -12,708 +12,904 @@
 
 use crate::backend_sampler::BackendSampler;
 use crate::event::{
-    Action, AttemptEnd, BackendNote, Condition, Event, Listing, Outcome, Reason, Request, TierNote,
+    Action, AttemptEnd, BackendMessage, Condition, Event, Listing, Outcome, Reason, Request, TierMessage,
 };
 use crate::id::{AttemptNo, BackendId, PeerId, RequestId, TimerId};
 use crate::peer_message::{decode, encode};
 use crate::settings::{Effect, Group, Settings};
-use crate::state::{all_barred, census, left_out, words, Backend, Desk, Held, Tier};
+use crate::state::{
+    all_disabled, excluded_count, observations, summarize_backends, Backend, PendingRequest, RequestQueue,
+    Tier,
+};
 use crate::stats::Mean;
 use crate::time::{Span, Time};
 
 #[cfg(test)]
 mod tests;
 
-const TICK: Span = Span::from_millis(250); // the limit's update interval
+/// The update interval of the limit.
+const TICK_INTERVAL: Span = Span::from_millis(250);
 const TICKS_PER_S: f64 = 4.0;
-const WINDOW: Span = Span::from_millis(2000); // a window of samples is at least this long
-const WINDOW_SAMPLES: usize = 50; // and this full
-const WINDOW_MOST: Span = Span::from_millis(30_000); // and holds nothing older
-const SMOOTHING: f64 = 0.2; // weight of a new window in the smoothed p90
-const CORRELATED: usize = 50; // update intervals over which in flight and throughput are compared
-const CORRELATION: f64 = 2.1; // times the root of the intervals: what chance alone hardly brings
-const LATE: f64 = 0.1; // above this part of samples not in time the limit falls
-const CALLS_LEAST: f64 = 2.0; // for each ready backend, of all instances together
-const CALLS_START: f64 = 4.0;
-const CALLS_MOST: f64 = 6.0;
-const LIMIT_FLOOR: f64 = 4.0;
-const PRESSURE: f64 = 3.0; // how much what backends report counts against the limit, at LATE
-const BAND_CHANCE: f64 = 2.0; // above this multiple of the limit refusals begin
-const BAND_ALL: f64 = 3.0; // above this one nothing is taken
-const NEED: f64 = 1.5; // time left for an answer, in p90, under which waiting ends
-const RETRY_SHARE: f64 = 0.1; // repeats of what may have run, for each first attempt
-const RETRY_MOST: f64 = 10.0; // and the most that are saved up
-const STRIKES_OUT: f64 = 2.0; // strikes in a row that put a backend out
-const WORD_FADE: f64 = 5000.0; // ms in which a word of a backend fades
-const PRIOR: f64 = 4.0; // own attempts that what is known of the zone, or the tier, counts as
-const FADE: f64 = 0.98; // what failed is forgotten by so much an update interval
-const OUT_MOST: f64 = 0.34; // part of the ready that may be out, so that the rest is not overrun
-const OUT_FIRST: Span = Span::from_millis(1000); // how long a backend is out at first
-const OUT_DOUBLINGS: u32 = 3; // and how often that doubles
-const ASK_PRICE: f64 = 0.005; // the highest price of a check at which reports are asked for
-const CROSSING: f64 = 0.25; // calls that crossing zones counts as, where it has a price
-const UNSEEN: f64 = 0.5; // and of the mean nearby, for a backend that does not report
-const KEYS_FADE: f64 = 0.97; // what part of what is known of keys stays from one update to the next
-const SELDOM: f64 = 5.0; // more answers' times, in a large crowd, in which a report loses its weight
-const SPREAD: f64 = 2.5; // homes of a key, for each part of the traffic that a backend's even share is
-const MOVED: f64 = 0.4; // calls that it counts as to go where a key is not known
-const SHARED: f64 = 3.0; // instances that share a backend, where there are many
-const PART_LEAST: f64 = 6.0; // and the fewest backends that an instance keeps to
-const PATIENCE: f64 = 0.05; // part of the latency target for which reports are waited for
-const UNSENT: Span = Span::from_millis(50); // for which silence says nothing, once this machine could not send
-const MARK_TICK: TimerId = TimerId(u64::MAX);
-const MARK_WATCH: TimerId = TimerId(u64::MAX - 1);
-const MARK_ASKED: TimerId = TimerId(u64::MAX - 2);
-
-/// What a backend finds around it when it reads a note, and where it leaves its own.
-struct Around<'a> {
+
+/// The window of latency samples is at least this long and this full, and holds nothing older than the
+/// maximum.
+const MIN_WINDOW: Span = Span::from_millis(2000);
+const MIN_WINDOW_SAMPLES: usize = 50;
+const MAX_WINDOW: Span = Span::from_millis(30_000);
+/// The weight of a new window in the smoothed 90th percentile.
+const P90_SMOOTHING_WEIGHT: f64 = 0.2;
+
+/// The number of update intervals over which attempts in flight and throughput are correlated.
+const CORRELATION_INTERVALS: usize = 50;
+/// Pearson's correlation times the square root of the intervals; chance alone hardly exceeds it.
+const MIN_CORRELATION_SIGNIFICANCE: f64 = 2.1;
+
+/// The limit falls if more than this part of the samples is late.
+const MAX_LATE_RATIO: f64 = 0.1;
+/// Bounds of the limit in attempts for each ready backend, of all instances together.
+const MIN_ATTEMPTS_PER_BACKEND: f64 = 2.0;
+const INITIAL_ATTEMPTS_PER_BACKEND: f64 = 4.0;
+const MAX_ATTEMPTS_PER_BACKEND: f64 = 6.0;
+const MIN_LIMIT_ATTEMPTS: f64 = 4.0;
+
+/// The weight of reported load against the limit, when the late part is `MAX_LATE_RATIO`.
+const REPORTED_LOAD_WEIGHT: f64 = 3.0;
+/// Refusals begin above this multiple of the limit.
+const REFUSAL_START_RATIO: f64 = 2.0;
+/// All requests are refused above this multiple of the limit.
+const REFUSE_ALL_RATIO: f64 = 3.0;
+/// A request stops waiting when less than this multiple of the 90th percentile is left for its response.
+const MIN_TIME_LEFT_RATIO: f64 = 1.5;
+
+/// Repeats of requests that may have run, for each first attempt.
+const RETRY_BUDGET_RATIO: f64 = 0.1;
+/// The most repeats that the retry budget saves up.
+const MAX_RETRY_BUDGET_ATTEMPTS: f64 = 10.0;
+
+/// A backend is ejected when the score of its failures in a row reaches this.
+const EJECTION_FAILURE_SCORE: f64 = 2.0;
+/// The time in which the weight of an observation of a backend falls to 1/e.
+const OBSERVATION_FADE_MS: f64 = 5000.0;
+/// The failure ratio of the zone, or of the tier, counts as this many own attempts.
+const PRIOR_ATTEMPTS: f64 = 4.0;
+/// The part of counted failures that remains after each update interval.
+const FAILURE_FADE_RATIO: f64 = 0.98;
+/// The part of the ready backends that may be ejected, so that the rest is not overloaded.
+const MAX_EJECTED_RATIO: f64 = 0.34;
+/// How long a backend is ejected the first time.
+const FIRST_EJECTION: Span = Span::from_millis(1000);
+/// How often that time doubles.
+const MAX_EJECTION_DOUBLINGS: u32 = 3;
+
+/// The highest price of a check at which load reports are requested.
+const MAX_CHECK_PRICE: f64 = 0.005;
+/// Sending to another zone, where that has a price, counts as this many attempts in flight,
+const CROSS_ZONE_PENALTY_ATTEMPTS: f64 = 0.25;
+/// and as this part of the mean in flight nearby if the backend doesn't report its load.
+const UNREPORTED_LOAD_RATIO: f64 = 0.5;
+/// The part of the counted keys that remains after each update interval.
+const KEY_FADE_RATIO: f64 = 0.97;
+/// With many instances for each backend, a report keeps its weight for this many more response times.
+const MAX_EXTRA_FADE_RESPONSES: f64 = 5.0;
+/// The number of home backends of a key for each backend's even part of the traffic that the key makes up.
+const HOMES_PER_EVEN_SHARE: f64 = 2.5;
+/// Sending a request to a backend that doesn't know its key counts as this many attempts in flight.
+const KEY_MOVE_PENALTY_ATTEMPTS: f64 = 0.4;
+/// Where there are many instances, this many share a backend,
+const INSTANCES_PER_SHARED_BACKEND: f64 = 3.0;
+/// and an instance's subset has at least this many backends.
+const MIN_SUBSET_BACKENDS: f64 = 6.0;
+/// The part of the latency target for which load reports are awaited.
+const REPORT_WAIT_RATIO: f64 = 0.05;
+/// For how long a backend's silence says nothing after this machine could not send to it.
+const SEND_FAILURE_GRACE: Span = Span::from_millis(50);
+
+const TICK_TIMER: TimerId = TimerId(u64::MAX);
+const WATCH_TIMER: TimerId = TimerId(u64::MAX - 1);
+const REPORT_TIMER: TimerId = TimerId(u64::MAX - 2);
+
+/// What a backend reads while it handles a message, and where it puts its own messages and actions.
+struct BackendContext<'a> {
     now: Time,
     tier: &'a Tier,
     settings: &'a Settings,
+    /// A random number from 0 to 1.
     chance: f64,
-    tier_inbox: &'a mut Vec<TierNote>,
-    out: &'a mut Vec<Action>,
+    tier_inbox: &'a mut Vec<TierMessage>,
+    actions: &'a mut Vec<Action>,
 }
 
 impl Backend {
-    fn ready(&self, now: Time, settings: &Settings) -> bool {
-        let free = match self.out {
-            None => self.cap.is_none_or(|cap| self.holds() < cap),
+    fn is_ready(&self, now: Time, settings: &Settings) -> bool {
+        let has_room = match self.ejected_until {
+            None => self.max_in_flight.is_none_or(|max| self.occupancy() < max),
             Some(until) => now >= until && self.in_flight < 1.0,
         };
-        let bears = self.credit >= 1.0 || settings.slow_start.capacity_ratio(self.started(), now) >= 1.0;
-        self.listing.condition == Condition::Ready && free && bears && now >= self.full_until
+        let has_credit =
+            self.slow_start_credit >= 1.0 || settings.slow_start.capacity_ratio(self.started(), now) >= 1.0;
+        self.listing.condition == Condition::Ready && has_room && has_credit && now >= self.full_until
     }
 
-    fn act(&mut self, note: BackendNote, around: &mut Around) {
-        match note {
-            BackendNote::Listed(listing) => {
-                let fresh = listing.started != self.listing.started || self.heard == Time::default();
+    fn handle(&mut self, message: BackendMessage, context: &mut BackendContext) {
+        match message {
+            BackendMessage::Listed(listing) => {
+                let is_new = listing.started != self.listing.started || self.last_response == Time::default();
                 self.listing = listing;
-                if fresh {
-                    self.begin_anew(None, around);
+                if is_new {
+                    self.reset(None, context);
                 }
             }
-            BackendNote::Back => self.begin_anew(Some(around.now), around),
-            BackendNote::Sent => {
-                self.heard = if self.in_flight < 1.0 { around.now } else { self.heard };
+            BackendMessage::Enabled => self.reset(Some(context.now), context),
+            BackendMessage::AttemptSent => {
+                self.last_response = if self.in_flight < 1.0 { context.now } else { self.last_response };
                 self.in_flight += 1.0;
-                self.credit -= 1.0;
+                self.slow_start_credit -= 1.0;
+            }
+            BackendMessage::ResponseAborted => self.record_failure(1.0, context),
+            BackendMessage::SendFailed => {
+                self.last_response = self.last_response.max(context.now + SEND_FAILURE_GRACE)
+            }
+            BackendMessage::ResponseStarted(took) => self.record_latency(took, true, true, context),
+            BackendMessage::AttemptEnded(end, _) if end.sent_before_start(&self.listing, context.now) => {
+                self.in_flight -= 1.0
             }
-            BackendNote::Broke => self.judge(1.0, around),
-            BackendNote::Unsent => self.heard = self.heard.max(around.now + UNSENT),
-            BackendNote::Began(took) => self.sample(took, true, true, around),
-            BackendNote::Ended(e, _) if e.precedes(&self.listing, around.now) => self.in_flight -= 1.0,
-            BackendNote::Ended(ended, sample) => self.ended(&ended, sample, around),
-            BackendNote::Checked(outcome, load) => {
-                self.report(load, around.now);
-                // Guards against a request being spent to learn of a backend that can't be reached.
+            BackendMessage::AttemptEnded(end, sample) => self.attempt_ended(&end, sample, context),
+            BackendMessage::CheckEnded(outcome, load) => {
+                self.record_load_report(load, context.now);
+                // A backend that a check can't reach is ejected, so that no request is spent on finding out.
                 if outcome == Outcome::ConnectFailed {
-                    self.judge(1.0, around);
-                    self.put_out("not reached", around);
+                    self.record_failure(1.0, context);
+                    self.eject("unreachable", context);
                 }
             }
-            BackendNote::Told(word) => self.hear(word, around.now),
-            BackendNote::Tick => self.tick(around),
-        }
-        // Guards against a hung backend's attempts using up the limit: while it is out they do not count.
-        let counts = if self.out.is_some() { 0.0 } else { self.holds() };
-        around.tier_inbox.push(TierNote::Holds(counts - self.counted));
-        self.counted = counts;
-    }
-
-    /// Forgets what was learnt of it.
-    fn begin_anew(&mut self, back: Option<Time>, around: &Around) {
-        let (listing, in_flight, counted, heard) = (self.listing, self.in_flight, self.counted, around.now);
-        *self = Backend { listing, back, in_flight, counted, heard, ..Backend::default() };
-        if around.settings.slow_start.capacity_ratio(self.started(), around.now) < 1.0 {
-            // Guards against a start that all instances hear of at once: each begins at its own time. Staff
-            // call one instance after the other, and see each use the backend again soon.
-            (self.cap, self.credit) = (Some(1.0), if back.is_some() { 1.0 } else { around.chance });
-        }
-    }
-
-    fn sample(&mut self, latency: Span, in_time: bool, seen: bool, around: &mut Around) {
-        self.heard = around.now;
-        // Guards against a hung backend moving the limit: once it is out, it says nothing about the others.
-        if self.out.is_none() {
-            around.tier_inbox.push(TierNote::Sample(latency, in_time, seen));
-        }
-    }
-
-    fn tick(&mut self, around: &mut Around) {
-        // Guards against a cold backend being pushed over by all instances together: each sends it its part
-        // of what its warmth bears, measured by what its peers carry.
-        let cold = &around.settings.slow_start;
-        let floor = 2.0 / (around.settings.instances as f64 * (cold.overload_window.ms() / 1000.0).max(0.1));
-        let bears =
-            cold.capacity_ratio(self.started(), around.now) * cold.overload_ratio * 0.5 * around.tier.rate;
-        self.credit = (self.credit + bears.max(floor) / TICKS_PER_S).min(1.5);
-        self.ghosts.retain(|until| *until > around.now);
-        self.tally.fade(FADE);
-        // What was slow is forgotten with time, so that it is tried again.
-        self.took.add(around.tier.took.or(0.0), 0.01);
-        if self.in_flight > 0.0 && around.now.since(self.heard).ms() > 3.0 * around.tier.latency.or(1000.0) {
-            self.put_out("silent", around);
-        }
-    }
-
-    fn ended(&mut self, e: &AttemptEnd, sample: Option<(Span, bool)>, around: &mut Around) {
-        self.report(e.load, around.now); // first: it still counts the attempt with whose answer it came
+            BackendMessage::PeerObservation(observation) => self.merge_observation(observation, context.now),
+            BackendMessage::Tick => self.tick(context),
+        }
+        // Attempts at an ejected backend don't count, so that a hung backend's attempts don't use up the
+        // limit.
+        let counted = if self.ejected_until.is_some() { 0.0 } else { self.occupancy() };
+        context.tier_inbox.push(TierMessage::InFlightChanged(counted - self.counted_in_flight));
+        self.counted_in_flight = counted;
+    }
+
+    /// Forgets what was learnt about the backend.
+    fn reset(&mut self, enabled_at: Option<Time>, context: &BackendContext) {
+        let (listing, in_flight, counted_in_flight, last_response) =
+            (self.listing, self.in_flight, self.counted_in_flight, context.now);
+        *self = Backend {
+            listing,
+            enabled_at,
+            in_flight,
+            counted_in_flight,
+            last_response,
+            ..Backend::default()
+        };
+        if context.settings.slow_start.capacity_ratio(self.started(), context.now) < 1.0 {
+            // All instances hear of a start at once, so each begins to send at a random time. Operators
+            // enable a backend at one instance after the other and expect each to use it again soon.
+            (self.max_in_flight, self.slow_start_credit) =
+                (Some(1.0), if enabled_at.is_some() { 1.0 } else { context.chance });
+        }
+    }
+
+    fn record_latency(&mut self, latency: Span, in_time: bool, exact: bool, context: &mut BackendContext) {
+        self.last_response = context.now;
+        // An ejected backend says nothing about the others: a hung one must not move the limit.
+        if self.ejected_until.is_none() {
+            context.tier_inbox.push(TierMessage::LatencySample(latency, in_time, exact));
+        }
+    }
+
+    fn tick(&mut self, context: &mut BackendContext) {
+        // All instances together must not overload a backend in its slow start: each sends it its part of
+        // what its present capacity bears, measured by what its peers carry.
+        let slow_start = &context.settings.slow_start;
+        let min_rate =
+            2.0 / (context.settings.instances as f64 * (slow_start.overload_window.ms() / 1000.0).max(0.1));
+        let rate = slow_start.capacity_ratio(self.started(), context.now)
+            * slow_start.overload_ratio
+            * 0.5
+            * context.tier.rate_per_backend;
+        self.slow_start_credit = (self.slow_start_credit + rate.max(min_rate) / TICKS_PER_S).min(1.5);
+        self.abandoned_attempts.retain(|until| *until > context.now);
+        self.failures.fade(FAILURE_FADE_RATIO);
+        // A slow backend drifts back to the tier's response time, so that it is tried again.
+        self.response_ms.add(context.tier.response_ms.or(0.0), 0.01);
+        if self.in_flight > 0.0
+            && context.now.since(self.last_response).ms() > 3.0 * context.tier.latency.or(1000.0)
+        {
+            self.eject("silent", context);
+        }
+    }
+
+    fn attempt_ended(
+        &mut self,
+        end: &AttemptEnd,
+        sample: Option<(Span, bool)>,
+        context: &mut BackendContext,
+    ) {
+        // The report comes first, because it still counts the attempt whose response it came with.
+        self.record_load_report(end.load, context.now);
         self.in_flight -= 1.0;
-        let served = e.outcome == Outcome::Served;
+        let served = end.outcome == Outcome::Served;
         if let Some((latency, in_time)) = sample {
-            self.sample(latency, in_time, e.outcome != Outcome::TimedOut, around);
+            self.record_latency(latency, in_time, end.outcome != Outcome::TimedOut, context);
         }
-        if matches!(e.outcome, Outcome::TimedOut | Outcome::Cancelled) && self.others.is_none() {
-            // Guards against unseen work: a time-out may not stop it; where no report tells, it still counts.
-            self.ghosts.push(around.now + e.took.scaled(2.0));
+        if matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled) && self.reported_others.is_none() {
+            // A time-out may not stop the work at the backend. Where no report shows it, it still counts as
+            // in flight.
+            self.abandoned_attempts.push(context.now + end.took.scaled(2.0));
         }
-        if matches!(e.outcome, Outcome::Full | Outcome::ConnectFailed) {
-            // Guards against a storm of attempts at what looks idle as it takes none: it rests a while.
-            self.full_until = around.now + Span::from_ms(around.tier.took.or(0.0) * (0.5 + around.chance));
+        if matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed) {
+            // A backend that accepts nothing looks idle and would attract a storm of attempts: it rests for a
+            // while.
+            self.full_until =
+                context.now + Span::from_ms(context.tier.response_ms.or(0.0) * (0.5 + context.chance));
         }
-        if e.outcome.is_neutral() {
+        if end.outcome.is_neutral() {
             return;
         }
-        self.heard = around.now;
-        self.judge(if served { 0.0 } else { 1.0 }, around);
+        self.last_response = context.now;
+        self.record_failure(if served { 0.0 } else { 1.0 }, context);
         if served {
-            self.strikes = 0.0;
-            self.took.add(e.took.ms(), 0.2);
-            self.cap = self.cap.map(|cap| cap + 1.0 / cap);
-            self.credit = (self.credit + 1.0).min(1.5);
-            if self.out.take().is_some() {
-                (self.cap, self.outs) = (Some(1.0), 0);
-                around.out.push(Action::Log(format!("{} back in, took {:.0}", e.backend, e.took.ms())));
+            self.failure_score = 0.0;
+            self.response_ms.add(end.took.ms(), 0.2);
+            self.max_in_flight = self.max_in_flight.map(|max| max + 1.0 / max);
+            self.slow_start_credit = (self.slow_start_credit + 1.0).min(1.5);
+            if self.ejected_until.take().is_some() {
+                (self.max_in_flight, self.ejections) = (Some(1.0), 0);
+                context.actions.push(Action::Log(format!(
+                    "{} readmitted after a response in {:.0} ms",
+                    end.backend,
+                    end.took.ms()
+                )));
             }
             return;
         }
-        // Guards against blaming one backend for what all suffer, such as errors from the tier below.
-        let blame = (1.0 - 3.0 * around.tier.failing).max(0.0);
-        self.strikes += match e.outcome {
-            Outcome::ConnectFailed => STRIKES_OUT,
+        // One backend is not blamed for failures that all share, such as errors from the tier below.
+        let blame = (1.0 - 3.0 * context.tier.failure_ratio).max(0.0);
+        self.failure_score += match end.outcome {
+            Outcome::ConnectFailed => EJECTION_FAILURE_SCORE,
             Outcome::TimedOut => 0.5 * blame,
             _ => blame,
         };
-        if self.strikes >= STRIKES_OUT || self.out.is_some() {
-            self.put_out("failing", around);
+        if self.failure_score >= EJECTION_FAILURE_SCORE || self.ejected_until.is_some() {
+            self.eject("failing", context);
         }
     }
 
-    fn judge(&mut self, failed: f64, around: &mut Around) {
-        self.tally.add(failed);
-        let known = self.word(around.now, around.tier, PRIOR, WORD_FADE);
-        self.word = Some((around.now, known + (failed - known) * 0.3));
-        around.tier_inbox.push(TierNote::Verdict(failed, self.listing.zone));
+    /// Records a failure (1) or a success (0) of the backend.
+    fn record_failure(&mut self, failed: f64, context: &mut BackendContext) {
+        self.failures.add(failed);
+        let known =
+            self.observed_failure_ratio(context.now, context.tier, PRIOR_ATTEMPTS, OBSERVATION_FADE_MS);
+        self.observed_failures = Some((context.now, known + (failed - known) * 0.3));
+        context.tier_inbox.push(TierMessage::FailureSample(failed, self.listing.zone));
     }
 
-    fn put_out(&mut self, why: &str, around: &mut Around) {
-        if self.out.is_none() {
-            if around.tier.ready_and_out.1 + 1.0 > (OUT_MOST * around.tier.ready_and_out.0).round() {
+    fn eject(&mut self, why: &str, context: &mut BackendContext) {
+        if self.ejected_until.is_none() {
+            if context.tier.ready_and_ejected.1 + 1.0
+                > (MAX_EJECTED_RATIO * context.tier.ready_and_ejected.0).round()
+            {
                 return;
             }
-            let said = format!("strikes {:.1}, tier failing {:.2}", self.strikes, around.tier.failing);
-            around.out.push(Action::Log(format!("{} out, {why}: {said}", self.listing.backend)));
+            let scores = format!(
+                "failure score {:.1}, tier failure ratio {:.2}",
+                self.failure_score, context.tier.failure_ratio
+            );
+            context.actions.push(Action::Log(format!("{} ejected, {why}: {scores}", self.listing.backend)));
         }
-        let times = f64::from(1 << self.outs.min(OUT_DOUBLINGS)) * (0.75 + 0.5 * around.chance);
-        self.outs += 1;
-        self.out = Some(around.now + OUT_FIRST.scaled(times));
+        let factor =
+            f64::from(1 << self.ejections.min(MAX_EJECTION_DOUBLINGS)) * (0.75 + 0.5 * context.chance);
+        self.ejections += 1;
+        self.ejected_until = Some(context.now + FIRST_EJECTION.scaled(factor));
     }
 }
 
 impl Tier {
-    /// What this instance may have in flight. Guards against bursts of a few being held up in a large crowd.
-    fn own_limit(&self) -> f64 {
-        (self.limit / self.crowd.max(1.0)).max(LIMIT_FLOOR)
-    }
-
-    fn act(&mut self, note: TierNote, now: Time, settings: &Settings) {
-        match note {
-            TierNote::Holds(more) => self.in_flight += more,
-            TierNote::Verdict(failed, zone) => {
-                self.failing += (failed - self.failing) * 0.05;
-                self.zones.entry(zone).or_default().add(failed);
+    /// How many attempts this instance may have in flight. The minimum lets an instance of many send short
+    /// bursts.
+    fn instance_limit(&self) -> f64 {
+        (self.limit / self.instances_per_backend.max(1.0)).max(MIN_LIMIT_ATTEMPTS)
+    }
+
+    fn handle(&mut self, message: TierMessage, now: Time, settings: &Settings) {
+        match message {
+            TierMessage::InFlightChanged(change) => self.in_flight += change,
+            TierMessage::FailureSample(failed, zone) => {
+                self.failure_ratio += (failed - self.failure_ratio) * 0.05;
+                self.zone_failures.entry(zone).or_default().add(failed);
             }
-            TierNote::Sample(took, in_time, seen) => {
-                self.samples.add(now, took.ms(), seen);
-                self.late = Mean::of(self.late.or(LATE)); // what is not known yet is not taken for good
-                self.late.add(f64::from(u8::from(!in_time)), 0.05);
+            TierMessage::LatencySample(latency, in_time, exact) => {
+                self.latency_samples.add(now, latency.ms(), exact);
+                // An unknown late ratio starts at its maximum rather than at 0.
+                self.late_ratio = Mean::of(self.late_ratio.or(MAX_LATE_RATIO));
+                self.late_ratio.add(f64::from(u8::from(!in_time)), 0.05);
                 if in_time {
-                    self.answers += 1.0;
-                    self.took.add(took.ms(), 0.05);
+                    self.responses += 1.0;
+                    self.response_ms.add(latency.ms(), 0.05);
                 }
             }
-            TierNote::Tick { ready, out, others, middle, size } => {
-                (self.ready_and_out, self.others, self.middle, self.size) =
-                    ((ready, out), others, middle, size);
-                self.zones.values_mut().for_each(|tally| tally.fade(FADE));
-                self.rate += (self.answers * TICKS_PER_S / ready.max(1.0) - self.rate) * 0.05;
-                self.intervals.add(self.in_flight, take(&mut self.answers), CORRELATED);
-                // Where instances outnumber backends, the limit is that of what all have at one of these.
-                self.crowd = (settings.instances as f64 / ready.max(1.0)).max(0.01);
-                let crowd = self.crowd;
-                let of_ready = |calls: f64| (calls / crowd.min(1.0)).max(LIMIT_FLOOR / crowd.max(1.0));
-                self.limit = if self.limit == 0.0 { of_ready(CALLS_START) } else { self.limit };
-                self.update(now, of_ready(CALLS_START));
-                self.limit = self.limit.clamp(of_ready(CALLS_LEAST), of_ready(CALLS_MOST));
+            TierMessage::Tick { ready, ejected, mean_others, median_others, mean_size } => {
+                (self.ready_and_ejected, self.mean_others, self.median_others, self.mean_size) =
+                    ((ready, ejected), mean_others, median_others, mean_size);
+                self.zone_failures.values_mut().for_each(|failures| failures.fade(FAILURE_FADE_RATIO));
+                self.rate_per_backend +=
+                    (self.responses * TICKS_PER_S / ready.max(1.0) - self.rate_per_backend) * 0.05;
+                self.intervals.add(self.in_flight, take(&mut self.responses), CORRELATION_INTERVALS);
+                // Where instances outnumber backends, the limit is what all instances have in flight at one
+                // backend.
+                self.instances_per_backend = (settings.instances as f64 / ready.max(1.0)).max(0.01);
+                let instances = self.instances_per_backend;
+                let limit_for = |attempts: f64| {
+                    (attempts / instances.min(1.0)).max(MIN_LIMIT_ATTEMPTS / instances.max(1.0))
+                };
+                self.limit =
+                    if self.limit == 0.0 { limit_for(INITIAL_ATTEMPTS_PER_BACKEND) } else { self.limit };
+                self.update_limit(now, limit_for(INITIAL_ATTEMPTS_PER_BACKEND));
+                self.limit = self
+                    .limit
+                    .clamp(limit_for(MIN_ATTEMPTS_PER_BACKEND), limit_for(MAX_ATTEMPTS_PER_BACKEND));
             }
         }
     }
 
-    fn update(&mut self, now: Time, start: f64) {
-        let full = (WINDOW_SAMPLES as f64 / self.crowd.max(1.0)) as usize;
-        let Some((p90, answered)) = self.samples.p90(now, WINDOW, WINDOW_MOST, full) else {
-            // Guards against an instance with few calls being stuck at a low limit: it rises while unjudged.
-            self.limit += if self.limit < start { 1.0 / TICKS_PER_S } else { 0.0 };
+    fn update_limit(&mut self, now: Time, initial_limit: f64) {
+        let min_samples = (MIN_WINDOW_SAMPLES as f64 / self.instances_per_backend.max(1.0)) as usize;
+        let Some((p90, response_p90)) = self.latency_samples.p90(now, MIN_WINDOW, MAX_WINDOW, min_samples)
+        else {
+            // With too few samples to judge by, a low limit rises again: otherwise an instance with little
+            // traffic would be stuck at it.
+            self.limit += if self.limit < initial_limit { 1.0 / TICKS_PER_S } else { 0.0 };
             return;
         };
-        self.p90.add(p90, SMOOTHING);
-        self.answered.add(answered, SMOOTHING);
+        self.p90.add(p90, P90_SMOOTHING_WEIGHT);
+        self.response_p90.add(response_p90, P90_SMOOTHING_WEIGHT);
         let log = self.limit.log10();
-        // Guards against attempts lost whatever the load: unless answers show a queue, time-outs say nothing.
-        let jammed = self.queued(self.answered) >= 3.0 * log;
-        self.latency = if jammed { self.p90 } else { self.answered };
-        // Guards against a baseline that was set in a jam, from which the limit would never come down again.
-        let lower = self.latency.or(0.0) < self.baseline.or(f64::INFINITY);
-        if lower || self.failing < 0.1 && self.intervals.strength() > CORRELATION {
+        // Time-outs count only where responses show a queue; attempts may also be lost whatever the load.
+        let queue_shows = self.queue_size(self.response_p90) >= 3.0 * log;
+        self.latency = if queue_shows { self.p90 } else { self.response_p90 };
+        // A baseline that was set while requests queued has to fall again, or the limit would never come
+        // down.
+        let is_lower = self.latency.or(0.0) < self.baseline.or(f64::INFINITY);
+        if is_lower
+            || self.failure_ratio < 0.1 && self.intervals.significance() > MIN_CORRELATION_SIGNIFICANCE
+        {
             self.baseline = self.latency;
         }
-        let queued = self.queued(self.latency);
-        // Guards against a target so near that latency can't grow past it: much lateness is a queue, if any.
-        if queued > 6.0 * log || self.late.or(0.0) > LATE && queued > 1.5 * log {
+        let queue_size = self.queue_size(self.latency);
+        // If the target is so close that latency can't grow past it, many late responses count as a queue as
+        // soon as there is a small one.
+        if queue_size > 6.0 * log || self.late_ratio.or(0.0) > MAX_LATE_RATIO && queue_size > 1.5 * log {
             self.limit -= log.max(1.0);
-        } else if queued < 3.0 * log {
+        } else if queue_size < 3.0 * log {
             self.limit += log.max(1.0);
         }
     }
 }
 
+/// The decision module of one instance.
 pub struct Balancer {
     settings: Settings,
     rng: Rand32,
     now: Time,
     backends: BTreeMap<BackendId, Backend>,
-    barred: BTreeSet<BackendId>, // by hand, whatever the list says
-    mail: Vec<BackendId>,        // whose inboxes are not empty
-    sampler: BackendSampler,     // all of them; empty when it is to be made anew
+    /// Disabled by operators, whatever the list says.
+    disabled: BTreeSet<BackendId>,
+    /// Backends whose inboxes are not empty.
+    unread: Vec<BackendId>,
+    /// Chooses among all backends that are not disabled; empty when it has to be rebuilt.
+    sampler: BackendSampler,
     tier: Tier,
-    tier_inbox: Vec<TierNote>,
-    desk: Desk,
+    tier_inbox: Vec<TierMessage>,
+    queue: RequestQueue,
     list_failures: u32,
 }
 
 impl Balancer {
-    pub fn new(settings: Settings, seed: u64, now: Time, out: &mut Vec<Action>) -> Balancer {
+    pub fn new(settings: Settings, seed: u64, now: Time, actions: &mut Vec<Action>) -> Balancer {
         let mut rng = Rand32::new(seed);
-        out.push(Action::SetTimer { after: Span::ZERO, id: MARK_TICK });
+        actions.push(Action::SetTimer { after: Span::ZERO, id: TICK_TIMER });
         if settings.list_on_request {
             let after = Span::from_millis(1500).scaled(rng.rand_float().into());
-            out.push(Action::SetTimer { after, id: MARK_WATCH });
+            actions.push(Action::SetTimer { after, id: WATCH_TIMER });
         }
-        let desk = Desk::new(&settings, RETRY_MOST / 2.0);
-        let (backends, barred, mail, sampler, tier, tier_inbox, list_failures) = Default::default();
+        let queue = RequestQueue::new(&settings, MAX_RETRY_BUDGET_ATTEMPTS / 2.0);
+        let (backends, disabled, unread, sampler, tier, tier_inbox, list_failures) = Default::default();
         Balancer {
             settings,
             rng,
             now,
             backends,
-            barred,
-            mail,
+            disabled,
+            unread,
             sampler,
             tier,
             tier_inbox,
-            desk,
+            queue,
             list_failures,
         }
     }
 
-    /// Takes one event and appends what is to be done about it now.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Takes one event and appends the actions to carry out now.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        self.desk.inbox.push_back(event);
-        // Empties the inboxes. The desk sends one request at a time, so that the next pick knows of it.
+        self.queue.inbox.push_back(event);
+        // Empties the inboxes. Requests are sent one at a time, so that the next choice takes the last one
+        // into account.
         loop {
             let (now, settings, tier_inbox) = (self.now, &self.settings, &mut self.tier_inbox);
             let chance = self.rng.rand_float().into();
-            let mut around = Around { now, tier: &self.tier, settings, chance, tier_inbox, out };
-            for id in take(&mut self.mail) {
+            let mut context = BackendContext { now, tier: &self.tier, settings, chance, tier_inbox, actions };
+            for id in take(&mut self.unread) {
                 let Some(backend) = self.backends.get_mut(&id) else { continue };
-                take(&mut backend.inbox).into_iter().for_each(|note| backend.act(note, &mut around));
+                take(&mut backend.inbox)
+                    .into_iter()
+                    .for_each(|message| backend.handle(message, &mut context));
             }
-            for note in take(&mut self.tier_inbox) {
-                self.tier.act(note, now, settings);
+            for message in take(&mut self.tier_inbox) {
+                self.tier.handle(message, now, settings);
             }
-            match self.desk.inbox.pop_front() {
-                Some(event) => self.act(event, out),
-                None if !self.serve(out) => return,
+            match self.queue.inbox.pop_front() {
+                Some(event) => self.handle_event(event, actions),
+                None if !self.send_next(actions) => return,
                 None => {}
             }
         }
     }
 
-    fn tell(&mut self, id: BackendId, note: BackendNote) {
+    /// Puts a message into a backend's inbox.
+    fn send_message(&mut self, id: BackendId, message: BackendMessage) {
         if let Some(backend) = self.backends.get_mut(&id) {
-            backend.inbox.push(note);
-            self.mail.push(id);
+            backend.inbox.push(message);
+            self.unread.push(id);
         }
     }
 
-    fn list(&mut self, whole: bool, listings: &[Listing]) {
+    fn update_list(&mut self, full: bool, listings: &[Listing]) {
         self.list_failures = 0;
         self.sampler = BackendSampler::default();
-        let left = self.backends.values().filter(|_| whole);
-        let left: Vec<_> = left.map(|b| Listing { condition: Condition::Gone, ..b.listing }).collect();
-        for listing in left.iter().chain(listings) {
+        let gone = self.backends.values().filter(|_| full);
+        let gone: Vec<_> = gone.map(|b| Listing { condition: Condition::Gone, ..b.listing }).collect();
+        for listing in gone.iter().chain(listings) {
             self.backends.entry(listing.backend).or_default().listing.backend = listing.backend;
-            self.tell(listing.backend, BackendNote::Listed(*listing));
+            self.send_message(listing.backend, BackendMessage::Listed(*listing));
         }
     }
 
-    fn bar(&mut self, backend: BackendId, barred: bool, out: &mut Vec<Action>) {
+    fn set_disabled(&mut self, backend: BackendId, disabled: bool, actions: &mut Vec<Action>) {
         self.sampler = BackendSampler::default();
-        if barred && self.barred.insert(backend) {
-            out.push(Action::Withdraw { backend });
-        } else if !barred && self.barred.remove(&backend) {
-            // It may have restarted meanwhile: guards against pushing it over, and old judgement.
-            self.tell(backend, BackendNote::Back);
-            out.push(Action::CloseIdle { backend });
+        if disabled && self.disabled.insert(backend) {
+            actions.push(Action::Withdraw { backend });
+        } else if !disabled && self.disabled.remove(&backend) {
+            // It may have restarted in the meantime: it must not be overloaded, nor judged by old failures.
+            self.send_message(backend, BackendMessage::Enabled);
+            actions.push(Action::CloseIdle { backend });
         }
     }
 
-    /// What staff have left out.
+    /// The backends that operators have disabled.
     pub fn disabled(&self) -> impl Iterator<Item = BackendId> + '_ {
-        self.barred.iter().copied()
+        self.disabled.iter().copied()
     }
 
-    /// How many backends of the list get nothing now, by hand or because they fail.
+    /// How many listed backends get no requests now, because operators disabled them or because they fail.
     pub fn excluded_count(&self) -> usize {
-        left_out(&self.backends, &self.barred)
-    }
-
-    fn tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: TICK, id: MARK_TICK });
-        let before = self.backends.len();
-        self.backends.retain(|_, b| b.listing.condition != Condition::Gone || b.holds() > 0.0);
-        let moved = self.backends.len() < before;
-        self.sampler = if moved { BackendSampler::default() } else { take(&mut self.sampler) };
-        self.desk.keys.fade(KEYS_FADE);
-        out.extend(self.gossip());
-        self.mail = self.backends.keys().copied().collect();
-        self.backends.values_mut().for_each(|backend| backend.inbox.push(BackendNote::Tick));
-        let open = self.backends.iter().filter(|(id, _)| !self.barred.contains(id));
-        self.tier_inbox.push(census(open.map(|(_, backend)| backend), self.now));
-        self.desk.refill(&self.settings, TICKS_PER_S);
-        out.extend(self.desk.tell_mode(self.load(), BAND_CHANCE, &self.tier).map(Action::Log));
-    }
-
-    /// In flight and waiting, in multiples of the limit.
-    fn load(&self) -> f64 {
-        (self.tier.in_flight + self.desk.waiting()) / self.tier.own_limit()
-    }
-
-    /// The same where instances outnumber backends: by what these report, the more so the more is late.
-    fn reported(&mut self, id: RequestId) -> f64 {
-        let weight = (1.0 - 1.0 / self.tier.crowd).max(0.0);
-        let Some(two) = (weight > 0.0).then(|| self.pick(id)).flatten() else { return 0.0 };
-        let (tier, b) = (&self.tier, &self.backends[&two[0]]);
-        let held = (b.holds() + b.others(self.now, tier.others, self.fade()) + tier.middle) / 2.0;
-        let late = (tier.late.or(LATE) / LATE).clamp(0.5, 1.0);
-        weight * held / tier.limit.max(1.0) * PRESSURE * late
-    }
-
-    /// Tells another instance what was seen last, for each request once at the most: it has a price.
-    fn gossip(&mut self) -> Option<Action> {
+        excluded_count(&self.backends, &self.disabled)
+    }
+
+    fn tick(&mut self, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer { after: TICK_INTERVAL, id: TICK_TIMER });
+        let count_before = self.backends.len();
+        self.backends.retain(|_, b| b.listing.condition != Condition::Gone || b.occupancy() > 0.0);
+        let removed = self.backends.len() < count_before;
+        self.sampler = if removed { BackendSampler::default() } else { take(&mut self.sampler) };
+        self.queue.keys.fade(KEY_FADE_RATIO);
+        actions.extend(self.peer_message());
+        self.unread = self.backends.keys().copied().collect();
+        self.backends.values_mut().for_each(|backend| backend.inbox.push(BackendMessage::Tick));
+        let enabled = self.backends.iter().filter(|(id, _)| !self.disabled.contains(id));
+        self.tier_inbox.push(summarize_backends(enabled.map(|(_, backend)| backend), self.now));
+        self.queue.refill_quotas(&self.settings, TICKS_PER_S);
+        actions.extend(
+            self.queue.update_mode(self.load_ratio(), REFUSAL_START_RATIO, &self.tier).map(Action::Log),
+        );
+    }
+
+    /// Attempts in flight and requests that wait, as a multiple of the limit.
+    fn load_ratio(&self) -> f64 {
+        (self.tier.in_flight + self.queue.waiting_count()) / self.tier.instance_limit()
+    }
+
+    /// The same where instances outnumber backends: by the load that backends report, which weighs the more
+    /// the more responses are late.
+    fn reported_load_ratio(&mut self, id: RequestId) -> f64 {
+        let weight = (1.0 - 1.0 / self.tier.instances_per_backend).max(0.0);
+        let Some(pair) = (weight > 0.0).then(|| self.choose_backends(id)).flatten() else { return 0.0 };
+        let (tier, b) = (&self.tier, &self.backends[&pair[0]]);
+        let in_flight = (b.occupancy()
+            + b.others_in_flight(self.now, tier.mean_others, self.report_fade_ms())
+            + tier.median_others)
+            / 2.0;
+        let lateness = (tier.late_ratio.or(MAX_LATE_RATIO) / MAX_LATE_RATIO).clamp(0.5, 1.0);
+        weight * in_flight / tier.limit.max(1.0) * REPORTED_LOAD_WEIGHT * lateness
+    }
+
+    /// Sends the latest observations to one random instance, at most once per received request because
+    /// messages have a price.
+    fn peer_message(&mut self) -> Option<Action> {
         let Settings { instances, ordinal, .. } = self.settings;
-        let tells = self.settings.peer_messages && instances > 1 && take(&mut self.desk.met);
-        let next = tells.then(|| self.rng.rand_range(1..instances as u32))?;
-        let to = Some(PeerId(((ordinal + next as usize) % instances) as u16));
-        Some(Action::SendToPeer { to, bytes: encode(&self.desk.keys.last, words(&self.backends, self.now)) })
+        let send =
+            self.settings.peer_messages && instances > 1 && take(&mut self.queue.received_since_message);
+        let offset = send.then(|| self.rng.rand_range(1..instances as u32))?;
+        let to = Some(PeerId(((ordinal + offset as usize) % instances) as u16));
+        Some(Action::SendToPeer {
+            to,
+            bytes: encode(&self.queue.keys.recent, observations(&self.backends, self.now)),
+        })
     }
 
-    fn act(&mut self, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::ListReceived { full, listings } => self.list(full, &listings),
+            Event::ListReceived { full, listings } => self.update_list(full, &listings),
             Event::ListFailed => {
                 self.list_failures += 1;
                 let wait = (1 << self.list_failures.min(2)) as f32 * (0.5 + self.rng.rand_float());
-                out.push(Action::Log(format!("list lost, failure {}, asking again", self.list_failures)));
-                out.push(Action::SetTimer { after: TICK.scaled(wait.into()), id: MARK_WATCH });
+                actions.push(Action::Log(format!(
+                    "list of backends not available, failure {} in a row, will fetch it again",
+                    self.list_failures
+                )));
+                actions.push(Action::SetTimer { after: TICK_INTERVAL.scaled(wait.into()), id: WATCH_TIMER });
             }
-            Event::RequestReceived(request) => self.taken(request, out),
+            Event::RequestReceived(request) => self.request_received(request, actions),
             Event::ResponseStarted { request, backend, took } => {
-                // The client holds a stream that has begun: nothing more is owed for it.
-                self.desk.held.remove(&request);
-                self.tell(backend, BackendNote::Began(took));
+                // The client holds a stream that has started: nothing more is owed for its request.
+                self.queue.pending.remove(&request);
+                self.send_message(backend, BackendMessage::ResponseStarted(took));
             }
-            Event::SetDisabled { backend, disabled } => self.bar(backend, disabled, out),
+            Event::SetDisabled { backend, disabled } => self.set_disabled(backend, disabled, actions),
             Event::InstancesChanged { instances, ordinal } => {
                 (self.settings.instances, self.settings.ordinal) = (instances.max(1), ordinal);
                 self.sampler = BackendSampler::default();
             }
-            Event::AttemptEnded(ended) => self.ended(ended, out),
-            Event::RequestComplete { request, deadline } => self.whole(request, deadline, out),
-            Event::ResponseAborted(backend) => self.tell(backend, BackendNote::Broke),
-            Event::SendFailed(backend) => self.tell(backend, BackendNote::Unsent),
-            Event::ClientGone(id) => drop(self.release(id, out)),
-            Event::TimerExpired(MARK_TICK) => self.tick(out),
-            Event::TimerExpired(MARK_WATCH) => out.push(Action::WatchList { on: true }),
+            Event::AttemptEnded(end) => self.attempt_ended(end, actions),
+            Event::RequestComplete { request, deadline } => self.request_complete(request, deadline, actions),
+            Event::ResponseAborted(backend) => self.send_message(backend, BackendMessage::ResponseAborted),
+            Event::SendFailed(backend) => self.send_message(backend, BackendMessage::SendFailed),
+            Event::ClientGone(id) => drop(self.remove_request(id, actions)),
+            Event::TimerExpired(TICK_TIMER) => self.tick(actions),
+            Event::TimerExpired(WATCH_TIMER) => actions.push(Action::WatchList { on: true }),
             Event::CheckEnded { backend, outcome, load, .. } => {
-                self.tell(backend, BackendNote::Checked(outcome, load))
+                self.send_message(backend, BackendMessage::CheckEnded(outcome, load))
             }
             Event::PeerMessage { bytes, .. } => {
-                let (keys, words) = decode(&bytes);
-                keys.for_each(|key| self.desk.keys.heard(key));
-                words.for_each(|word| self.tell(word.backend, BackendNote::Told(word)));
+                let (keys, observations) = decode(&bytes);
+                keys.for_each(|key| self.queue.keys.add_hash(key));
+                observations.for_each(|observation| {
+                    self.send_message(observation.backend, BackendMessage::PeerObservation(observation))
+                });
             }
-            Event::TimerExpired(mark) => {
-                let id = RequestId(mark.0);
-                let up = |held: &Held| held.due <= self.now && (held.whole || held.out.is_none());
-                if self.desk.held.get(&id).is_some_and(up) {
-                    self.give_up(id, Reason::OutOfTime, out);
+            Event::TimerExpired(timer) => {
+                let id = RequestId(timer.0);
+                let is_out_of_time = |pending: &PendingRequest| {
+                    pending.respond_by <= self.now && (pending.complete || pending.running.is_none())
+                };
+                if self.queue.pending.get(&id).is_some_and(is_out_of_time) {
+                    self.give_up(id, Reason::OutOfTime, actions);
                 }
             }
         }
     }
 
-    /// Only a stand-in: the attempt's own time-out comes a round earlier, and counts as a sample.
-    fn stand_in(&self, id: RequestId, due: Time, out: &mut Vec<Action>) {
-        let after = due.since(self.now) + self.settings.batch_interval;
-        out.push(Action::SetTimer { after, id: TimerId(id.0) });
+    /// Sets the timer that ends a request. It is only a fallback: the attempt's own time-out comes one batch
+    /// interval earlier and counts as a latency sample.
+    fn set_request_timer(&self, id: RequestId, respond_by: Time, actions: &mut Vec<Action>) {
+        let after = respond_by.since(self.now) + self.settings.batch_interval;
+        actions.push(Action::SetTimer { after, id: TimerId(id.0) });
     }
 
-    fn whole(&mut self, id: RequestId, deadline: Time, out: &mut Vec<Action>) {
-        let Some(class) = self.desk.held.get(&id).map(|held| held.class) else { return };
-        let (target, due) = self.settings.times(&class, self.now, deadline, None);
-        self.stand_in(id, due, out);
-        self.count(id);
-        let Some(held) = self.desk.held.get_mut(&id) else { return };
-        (held.target, held.due, held.whole) = (target, due, true);
-        if held.out.is_some() {
-            let (attempt, time_out) = (AttemptNo(held.sent - 1), due.since(self.now));
-            out.push(Action::SetTimeout { request: id, attempt, timeout: time_out });
+    fn request_complete(&mut self, id: RequestId, deadline: Time, actions: &mut Vec<Action>) {
+        let Some(class) = self.queue.pending.get(&id).map(|pending| pending.class) else { return };
+        let (target, respond_by) = self.settings.response_times(&class, self.now, deadline, None);
+        self.set_request_timer(id, respond_by, actions);
+        self.count_attempt(id);
+        let Some(pending) = self.queue.pending.get_mut(&id) else { return };
+        (pending.target, pending.respond_by, pending.complete) = (target, respond_by, true);
+        if pending.running.is_some() {
+            let (attempt, timeout) = (AttemptNo(pending.attempts - 1), respond_by.since(self.now));
+            actions.push(Action::SetTimeout { request: id, attempt, timeout });
         }
     }
 
-    /// An attempt of what was not whole counts from here, at the latest when it ends.
-    fn count(&mut self, id: RequestId) {
-        let attempt = self.desk.held.get(&id).filter(|held| !held.whole).and_then(|held| held.out);
+    /// Counts the attempt of a request that was incomplete as in flight from here on, at the latest when it
+    /// ends.
+    fn count_attempt(&mut self, id: RequestId) {
+        let attempt = self
+            .queue
+            .pending
+            .get(&id)
+            .filter(|pending| !pending.complete)
+            .and_then(|pending| pending.running);
         if let Some((listing, _)) = attempt {
-            self.tell(listing.backend, BackendNote::Sent);
+            self.send_message(listing.backend, BackendMessage::AttemptSent);
         }
     }
 
-    fn taken(&mut self, request: Request, out: &mut Vec<Action>) {
+    fn request_received(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let class = self.settings.classes[usize::from(request.class.0)];
-        let (target, due) = self.settings.times(&class, self.now, request.deadline, request.cost);
-        let beyond_share = self.desk.goes_beyond(request.tenant);
-        self.desk.met = true;
-        self.stand_in(id, due, out);
-        let held = Held::new(class, self.now, target, due, beyond_share);
-        let key = request.key.filter(|_| self.settings.key_affinity).inspect(|key| self.desk.keys.add(*key));
-        self.desk.held.insert(id, Held { whole: request.complete, key, ..held });
-        self.desk.first.push(id);
-        let chance = (self.load().max(self.reported(id)) - BAND_CHANCE) / (BAND_ALL - BAND_CHANCE);
-        if chance > self.rng.rand_float().into() {
-            // Guards against one tenant's flood: within the band, what lies beyond a share goes first.
-            let beyond = self.desk.first.iter().find(|id| self.desk.held[id].beyond_share);
-            self.give_up(beyond.copied().unwrap_or(id), Reason::Overloaded, out);
-        }
-    }
-
-    fn ended(&mut self, e: AttemptEnd, out: &mut Vec<Action>) {
-        self.count(e.request);
-        let held = self.desk.held.get(&e.request);
-        let sample = held.and_then(|held| e.sample(held.class.target));
-        self.tell(e.backend, BackendNote::Ended(e, sample));
-        if e.answered {
-            self.desk.held.remove(&e.request);
-        }
-        let Some(held) = self.desk.held.get_mut(&e.request) else { return };
-        let ran = e.outcome.may_have_run(&self.settings);
-        held.ran = held.ran.or(held.out.filter(|_| ran));
-        (held.out, held.last) = (None, Some(e.backend));
-        let allowed = held.ran.is_none() || held.class.effect != Effect::AtMostOnce;
-        let cost = f64::from(u8::from(ran));
-        let more =
-            held.sent < self.settings.max_attempts && e.outcome != Outcome::NotSent && !e.body_discarded;
-        if allowed && more && self.desk.retry_budget >= cost {
-            self.desk.retry_budget -= cost;
-            self.desk.further.push(e.request);
+        let (target, respond_by) =
+            self.settings.response_times(&class, self.now, request.deadline, request.cost);
+        let over_quota = self.queue.charge_quota(request.tenant);
+        self.queue.received_since_message = true;
+        self.set_request_timer(id, respond_by, actions);
+        let pending = PendingRequest::new(class, self.now, target, respond_by, over_quota);
+        let key = request.key.filter(|_| self.settings.key_affinity).inspect(|key| self.queue.keys.add(*key));
+        self.queue.pending.insert(id, PendingRequest { complete: request.complete, key, ..pending });
+        self.queue.first_attempts.push(id);
+        let refusal_chance = (self.load_ratio().max(self.reported_load_ratio(id)) - REFUSAL_START_RATIO)
+            / (REFUSE_ALL_RATIO - REFUSAL_START_RATIO);
+        if refusal_chance > self.rng.rand_float().into() {
+            // Requests over their tenant's quota are refused first, so that one tenant's flood doesn't
+            // displace others.
+            let first_over_quota =
+                self.queue.first_attempts.iter().find(|id| self.queue.pending[id].over_quota);
+            self.give_up(first_over_quota.copied().unwrap_or(id), Reason::Overloaded, actions);
+        }
+    }
+
+    fn attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
+        self.count_attempt(end.request);
+        let pending = self.queue.pending.get(&end.request);
+        let sample = pending.and_then(|pending| end.latency_sample(pending.class.target));
+        self.send_message(end.backend, BackendMessage::AttemptEnded(end, sample));
+        if end.answered {
+            self.queue.pending.remove(&end.request);
+        }
+        let Some(pending) = self.queue.pending.get_mut(&end.request) else { return };
+        let may_have_run = end.outcome.may_have_run(&self.settings);
+        pending.first_run = pending.first_run.or(pending.running.filter(|_| may_have_run));
+        (pending.running, pending.last_backend) = (None, Some(end.backend));
+        let may_repeat = pending.first_run.is_none() || pending.class.effect != Effect::AtMostOnce;
+        let cost = f64::from(u8::from(may_have_run));
+        let can_resend = pending.attempts < self.settings.max_attempts
+            && end.outcome != Outcome::NotSent
+            && !end.body_discarded;
+        if may_repeat && can_resend && self.queue.retry_budget >= cost {
+            self.queue.retry_budget -= cost;
+            self.queue.retries.push(end.request);
         } else {
-            let reason = match e.outcome {
+            let reason = match end.outcome {
                 Outcome::NotSent => Reason::NotSent,
-                _ if !allowed => Reason::MayHaveRun,
+                _ if !may_repeat => Reason::MayHaveRun,
                 _ => Reason::AttemptsSpent,
             };
-            self.give_up(e.request, reason, out);
+            self.give_up(end.request, reason, actions);
         }
     }
 
-    fn release(&mut self, id: RequestId, out: &mut Vec<Action>) -> Option<Held> {
-        self.count(id);
-        let held = self.desk.held.remove(&id)?;
-        self.desk.leave_lines(id);
-        if held.out.is_some() && self.settings.cancellation {
-            out.push(Action::Cancel { request: id, attempt: AttemptNo(held.sent - 1) });
+    fn remove_request(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<PendingRequest> {
+        self.count_attempt(id);
+        let pending = self.queue.pending.remove(&id)?;
+        self.queue.remove_waiting(id);
+        if pending.running.is_some() && self.settings.cancellation {
+            actions.push(Action::Cancel { request: id, attempt: AttemptNo(pending.attempts - 1) });
         }
-        Some(held)
+        Some(pending)
     }
 
-    /// The final answer, at once: a refusal where the class allows it, else a failure.
-    fn give_up(&mut self, id: RequestId, reason: Reason, out: &mut Vec<Action>) {
-        let Some(held) = self.release(id, out) else { return };
-        let harmless = match held.class.effect {
+    /// Gives the final response at once: a refusal where the class allows it, else a failure.
+    fn give_up(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
+        let Some(pending) = self.remove_request(id, actions) else { return };
+        let may_refuse = match pending.class.effect {
             Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-            Effect::Keyed { .. } | Effect::AtMostOnce => held.ran.is_none() && held.out.is_none(),
+            Effect::Keyed { .. } | Effect::AtMostOnce => {
+                pending.first_run.is_none() && pending.running.is_none()
+            }
         };
-        if !harmless {
-            return out.push(Action::Fail { request: id, reason });
-        }
-        let took = Span::from_ms(self.tier.took.or(0.0));
-        let soon = took.scaled(0.5 + f64::from(self.rng.rand_float()));
-        let soon = if self.now + took < held.target { soon } else { held.class.deadline };
-        let backoff = self.settings.max_backoff.map(|most| soon.min(most));
-        out.push(Action::Refuse { request: id, backoff, reason });
-    }
-
-    /// Sends the next request that waits, if the limit has room; first attempts before further ones.
-    fn serve(&mut self, out: &mut Vec<Action>) -> bool {
-        // What would be late gives up its place; what nobody may repeat tries while a usual answer may do.
-        let needs = [self.tier.latency, self.tier.took].map(|mean| Span::from_ms(NEED * mean.or(0.0)));
-        let none = all_barred(&self.backends, &self.barred);
-        let late = |id: &&RequestId| {
-            let held = &self.desk.held[id];
-            let need = needs[usize::from(held.sent > 0 && held.class.effect == Effect::AtMostOnce)];
-            none || self.now + need.min(held.target.since(held.arrived).scaled(0.9)) >= held.target
+        if !may_refuse {
+            return actions.push(Action::Fail { request: id, reason });
+        }
+        let response_time = Span::from_ms(self.tier.response_ms.or(0.0));
+        let delay = response_time.scaled(0.5 + f64::from(self.rng.rand_float()));
+        let delay = if self.now + response_time < pending.target { delay } else { pending.class.deadline };
+        let backoff = self.settings.max_backoff.map(|max| delay.min(max));
+        actions.push(Action::Refuse { request: id, backoff, reason });
+    }
+
+    /// Sends the next request that waits, if the limit has room; first attempts before retries. Returns
+    /// whether there is anything more to do.
+    fn send_next(&mut self, actions: &mut Vec<Action>) -> bool {
+        // A request that would be late gives up its place. A retry of an at-most-once request, which its
+        // client must not repeat, is tried as long as a mean response would be in time.
+        let times_needed = [self.tier.latency, self.tier.response_ms]
+            .map(|mean| Span::from_ms(MIN_TIME_LEFT_RATIO * mean.or(0.0)));
+        let none_enabled = all_disabled(&self.backends, &self.disabled);
+        let is_late = |id: &&RequestId| {
+            let pending = &self.queue.pending[id];
+            let time_needed =
+                times_needed[usize::from(pending.attempts > 0 && pending.class.effect == Effect::AtMostOnce)];
+            none_enabled
+                || self.now + time_needed.min(pending.target.since(pending.arrived).scaled(0.9))
+                    >= pending.target
         };
-        for id in self.desk.first.iter().chain(&self.desk.further).filter(late).copied().collect::<Vec<_>>() {
-            self.give_up(id, if none { Reason::AllDisabled } else { Reason::TooLate }, out);
-        }
-        for id in self.desk.asking.clone() {
-            let Some(backend) = self.answered(id) else { continue };
-            return self.attempt(id, backend, out);
-        }
-        if self.tier.in_flight + self.desk.asking.len() as f64 >= self.tier.own_limit() {
+        for id in self
+            .queue
+            .first_attempts
+            .iter()
+            .chain(&self.queue.retries)
+            .filter(is_late)
+            .copied()
+            .collect::<Vec<_>>()
+        {
+            self.give_up(id, if none_enabled { Reason::AllDisabled } else { Reason::TooLate }, actions);
+        }
+        for id in self.queue.awaiting_reports.clone() {
+            let Some(backend) = self.choose_by_reports(id) else { continue };
+            return self.send_attempt(id, backend, actions);
+        }
+        if self.tier.in_flight + self.queue.awaiting_reports.len() as f64 >= self.tier.instance_limit() {
             return false;
         }
-        let order = |id: &&RequestId| (self.desk.held[id].beyond_share, self.desk.held[id].target);
-        let first = self.desk.first.iter().min_by_key(order);
-        for id in first.into_iter().chain(&self.desk.further).copied().collect::<Vec<_>>() {
-            let Some(two) = self.pick(id) else { continue };
-            if !self.asks() {
-                return self.attempt(id, two[0], out);
+        let order = |id: &&RequestId| (self.queue.pending[id].over_quota, self.queue.pending[id].target);
+        let first = self.queue.first_attempts.iter().min_by_key(order);
+        for id in first.into_iter().chain(&self.queue.retries).copied().collect::<Vec<_>>() {
+            let Some(pair) = self.choose_backends(id) else { continue };
+            if !self.requests_reports() {
+                return self.send_attempt(id, pair[0], actions);
             }
-            self.desk.leave_lines(id);
-            self.desk.asking.push(id);
-            let (now, wait) = (self.now, self.desk.held[&id].class.target.scaled(PATIENCE));
-            self.desk.held.entry(id).and_modify(|held| held.asked = Some((two, now, now + wait)));
-            out.extend(two.map(|backend| Action::Check { backend }));
-            out.push(Action::SetTimer { after: wait, id: MARK_ASKED });
+            self.queue.remove_waiting(id);
+            self.queue.awaiting_reports.push(id);
+            let (now, wait) = (self.now, self.queue.pending[&id].class.target.scaled(REPORT_WAIT_RATIO));
+            self.queue
+                .pending
+                .entry(id)
+                .and_modify(|pending| pending.awaited_reports = Some((pair, now, now + wait)));
+            actions.extend(pair.map(|backend| Action::Check { backend }));
+            actions.push(Action::SetTimer { after: wait, id: REPORT_TIMER });
             return true;
         }
         false
     }
 
-    /// Where instances outnumber backends, own attempts say next to nothing of what a backend holds, and
-    /// reports that came with answers are old: there the two that were drawn are asked first.
-    fn asks(&self) -> bool {
-        let cheap = self.settings.report_price.is_some_and(|price| price <= ASK_PRICE);
-        cheap && self.settings.instances as f64 > self.tier.ready_and_out.0
-    }
-
-    /// The better of the two that were asked, once both have answered or the time for it is up.
-    fn answered(&mut self, id: RequestId) -> Option<BackendId> {
-        let (two, since, until) = self.desk.held[&id].asked?;
-        let report = |id: &BackendId| self.backends.get(id).and_then(|backend| backend.others);
-        let silent = |id: &BackendId| report(id).is_none_or(|(at, _)| at <= since);
-        let open = |b: &Backend| b.ready(self.now, &self.settings);
-        let ready = |id: &BackendId| self.backends.get(id).is_some_and(open) && !self.barred.contains(id);
-        if two.iter().any(|id| silent(id) && ready(id)) && self.now < until {
+    /// Whether to request load reports before sending. Where instances outnumber backends, an instance's own
+    /// attempts say almost nothing about a backend's load, and reports that came with responses are old;
+    /// there the two sampled backends are asked first.
+    fn requests_reports(&self) -> bool {
+        let is_cheap = self.settings.report_price.is_some_and(|price| price <= MAX_CHECK_PRICE);
+        is_cheap && self.settings.instances as f64 > self.tier.ready_and_ejected.0
+    }
+
+    /// The better of the two backends that were asked for reports, once both have reported or the wait is
+    /// over.
+    fn choose_by_reports(&mut self, id: RequestId) -> Option<BackendId> {
+        let (pair, since, until) = self.queue.pending[&id].awaited_reports?;
+        let report = |id: &BackendId| self.backends.get(id).and_then(|backend| backend.reported_others);
+        let is_missing = |id: &BackendId| report(id).is_none_or(|(at, _)| at <= since);
+        let is_ready = |b: &Backend| b.is_ready(self.now, &self.settings);
+        let is_eligible =
+            |id: &BackendId| self.backends.get(id).is_some_and(is_ready) && !self.disabled.contains(id);
+        if pair.iter().any(|id| is_missing(id) && is_eligible(id)) && self.now < until {
             return None;
         }
-        let loads = two.into_iter().filter(ready).map(|b| (silent(&b), self.load_of(b), b));
+        let loads = pair.into_iter().filter(is_eligible).map(|b| (is_missing(&b), self.backend_load(b), b));
         let best = loads.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        best.map(|(_, _, backend)| backend).or_else(|| self.pick(id).map(|two| two[0]))
+        best.map(|(_, _, backend)| backend).or_else(|| self.choose_backends(id).map(|pair| pair[0]))
     }
 
-    /// Whether a backend is ready and open to the request.
-    fn open(&self, id: RequestId, not: Option<BackendId>) -> impl Fn(BackendId) -> bool + '_ {
-        let held = &self.desk.held[&id];
-        // Guards against an effect that happens twice.
-        let may = |b: &Backend| match (held.class.effect, held.ran) {
+    /// Tells whether a backend is ready and may get this request.
+    fn is_eligible(&self, id: RequestId, excluded: Option<BackendId>) -> impl Fn(BackendId) -> bool + '_ {
+        let pending = &self.queue.pending[&id];
+        // Keeps an effect from happening twice.
+        let may_run = |b: &Backend| match (pending.class.effect, pending.first_run) {
             (Effect::Safe, _) | (_, None) => true,
             (Effect::AtMostOnce, Some(_)) => false,
-            (Effect::Keyed { group, .. }, Some((at, _))) => {
-                held.repeats_until() > Some(self.now) && at.shares_repeat_group(&b.listing, group)
+            (Effect::Keyed { group, .. }, Some((first, _))) => {
+                pending.repeats_dropped_until() > Some(self.now)
+                    && first.shares_repeat_group(&b.listing, group)
             }
         };
         move |backend: BackendId| {
             let b = &self.backends[&backend];
-            Some(backend) != not && b.ready(self.now, &self.settings) && may(b)
+            Some(backend) != excluded && b.is_ready(self.now, &self.settings) && may_run(b)
         }
     }
 
-    /// Of two random ready backends the one with less to do, and the other.
-    fn pick(&mut self, id: RequestId) -> Option<[BackendId; 2]> {
+    /// Of two random eligible backends the one with the lower load, then the other.
+    fn choose_backends(&mut self, id: RequestId) -> Option<[BackendId; 2]> {
         if self.sampler.is_empty() {
             let s = &self.settings;
-            let width = (SHARED * self.backends.len() as f64 / s.instances as f64).max(PART_LEAST);
-            let open = self.backends.iter().filter(|(id, _)| !self.barred.contains(id));
-            self.sampler = BackendSampler::new(open.map(|(_, b)| b.listing), s.zone, width, s.ordinal);
-        }
-        let best = self.two(id, false)?;
-        // Where crossing has a price, two of the own zone are drawn as well.
-        let zoned = self.settings.cross_zone_priced && self.desk.held[&id].key.is_none();
-        let near = if zoned { self.two(id, true) } else { None };
-        Some(near.filter(|near| self.load_of(near[0]) <= self.load_of(best[0])).unwrap_or(best))
-    }
-
-    fn two(&mut self, id: RequestId, near: bool) -> Option<[BackendId; 2]> {
-        let (mut rng, held) = (self.rng, &self.desk.held[&id]);
-        // Only the few repeats that must stay in a group look through the whole list.
-        let grouped = held.ran.is_some() && held.class.effect != Effect::Safe;
-        let (one, other, moved) = if let Some(key) = held.key {
-            let homes = SPREAD * self.tier.ready_and_out.0 * self.desk.keys.share(key);
-            self.sampler.draw_homes(&mut rng, key, homes, held.last, self.open(id, None))?
+            let subset_size = (INSTANCES_PER_SHARED_BACKEND * self.backends.len() as f64
+                / s.instances as f64)
+                .max(MIN_SUBSET_BACKENDS);
+            let enabled = self.backends.iter().filter(|(id, _)| !self.disabled.contains(id));
+            self.sampler =
+                BackendSampler::new(enabled.map(|(_, b)| b.listing), s.zone, subset_size, s.ordinal);
+        }
+        let best = self.sample_pair(id, false)?;
+        // Where sending to another zone has a price, two of the own zone are sampled as well.
+        let sample_own_zone = self.settings.cross_zone_priced && self.queue.pending[&id].key.is_none();
+        let same_zone = if sample_own_zone { self.sample_pair(id, true) } else { None };
+        Some(
+            same_zone.filter(|pair| self.backend_load(pair[0]) <= self.backend_load(best[0])).unwrap_or(best),
+        )
+    }
+
+    fn sample_pair(&mut self, id: RequestId, same_zone: bool) -> Option<[BackendId; 2]> {
+        let (mut rng, pending) = (self.rng, &self.queue.pending[&id]);
+        // Only the few repeats that must stay in a group search the whole list.
+        let exhaustive = pending.first_run.is_some() && pending.class.effect != Effect::Safe;
+        let (first, second, is_moved) = if let Some(key) = pending.key {
+            let home_count =
+                HOMES_PER_EVEN_SHARE * self.tier.ready_and_ejected.0 * self.queue.keys.share(key);
+            self.sampler.sample_homes(
+                &mut rng,
+                key,
+                home_count,
+                pending.last_backend,
+                self.is_eligible(id, None),
+            )?
         } else {
-            let mut draw = |not| self.sampler.draw(&mut rng, near, grouped, self.open(id, not));
-            let one = draw(None)?;
-            (one, draw(Some(one)).unwrap_or(one), false)
+            let mut sample = |excluded| {
+                self.sampler.sample(&mut rng, same_zone, exhaustive, self.is_eligible(id, excluded))
+            };
+            let first = sample(None)?;
+            (first, sample(Some(first)).unwrap_or(first), false)
         };
         self.rng = rng;
-        let moved = f64::from(u8::from(moved)) * MOVED;
-        Some(if self.load_of(one) <= self.load_of(other) + moved { [one, other] } else { [other, one] })
+        let penalty = f64::from(u8::from(is_moved)) * KEY_MOVE_PENALTY_ATTEMPTS;
+        Some(if self.backend_load(first) <= self.backend_load(second) + penalty {
+            [first, second]
+        } else {
+            [second, first]
+        })
     }
 
-    /// How long a report tells something: an answer's time, and longer where it is the seldomer had anew.
-    fn fade(&self) -> f64 {
-        self.tier.took.or(0.0).max(1.0) * (1.0 + SELDOM * (1.0 - 1.0 / self.tier.crowd).max(0.0))
+    /// How long a load report is relevant: one response time, and longer where many instances make reports
+    /// rarer.
+    fn report_fade_ms(&self) -> f64 {
+        self.tier.response_ms.or(0.0).max(1.0)
+            * (1.0 + MAX_EXTRA_FADE_RESPONSES * (1.0 - 1.0 / self.tier.instances_per_backend).max(0.0))
     }
 
-    fn load_of(&self, id: BackendId) -> f64 {
+    fn backend_load(&self, id: BackendId) -> f64 {
         let (b, tier) = (&self.backends[&id], &self.tier);
-        let far = self.settings.cross_zone_priced && b.listing.zone != self.settings.zone;
-        let others = b.others(self.now, tier.others, self.fade());
-        // Guards against the seeming idleness of what other zones keep busy and what reports nothing.
-        let unseen = if b.others.is_some() { 0.0 } else { UNSEEN * tier.in_flight };
-        let crossing = CROSSING + unseen / self.sampler.nearby().max(1) as f64;
-        let weight = b.pace(tier) * b.burden(self.now, tier, self.settings.peer_messages, (PRIOR, WORD_FADE));
-        (b.holds() + others + 1.0) * weight + if far { crossing } else { 0.0 }
-    }
-
-    fn attempt(&mut self, id: RequestId, backend: BackendId, out: &mut Vec<Action>) -> bool {
-        self.desk.leave_lines(id);
-        let Some(held) = self.desk.held.get_mut(&id) else { return false };
-        self.desk.retry_budget +=
-            RETRY_SHARE.min(RETRY_MOST - self.desk.retry_budget) * f64::from(u8::from(held.sent == 0));
-        held.out = Some((self.backends[&backend].listing, self.now));
-        held.sent += 1;
-        let by = held.repeats_until();
-        out.push(Action::Attempt { request: id, backend, timeout: held.due.since(self.now), start_by: by });
-        if held.whole {
-            self.tell(backend, BackendNote::Sent);
+        let is_cross_zone = self.settings.cross_zone_priced && b.listing.zone != self.settings.zone;
+        let others = b.others_in_flight(self.now, tier.mean_others, self.report_fade_ms());
+        // A backend of another zone that doesn't report its load may only look idle while its own zone keeps
+        // it busy.
+        let unreported =
+            if b.reported_others.is_some() { 0.0 } else { UNREPORTED_LOAD_RATIO * tier.in_flight };
+        let cross_zone_penalty =
+            CROSS_ZONE_PENALTY_ATTEMPTS + unreported / self.sampler.same_zone_count().max(1) as f64;
+        let weight = b.relative_response_time(tier)
+            * b.failure_weight(
+                self.now,
+                tier,
+                self.settings.peer_messages,
+                (PRIOR_ATTEMPTS, OBSERVATION_FADE_MS),
+            );
+        (b.occupancy() + others + 1.0) * weight + if is_cross_zone { cross_zone_penalty } else { 0.0 }
+    }
+
+    fn send_attempt(&mut self, id: RequestId, backend: BackendId, actions: &mut Vec<Action>) -> bool {
+        self.queue.remove_waiting(id);
+        let Some(pending) = self.queue.pending.get_mut(&id) else { return false };
+        self.queue.retry_budget += RETRY_BUDGET_RATIO
+            .min(MAX_RETRY_BUDGET_ATTEMPTS - self.queue.retry_budget)
+            * f64::from(u8::from(pending.attempts == 0));
+        pending.running = Some((self.backends[&backend].listing, self.now));
+        pending.attempts += 1;
+        let start_by = pending.repeats_dropped_until();
+        actions.push(Action::Attempt {
+            request: id,
+            backend,
+            timeout: pending.respond_by.since(self.now),
+            start_by,
+        });
+        if pending.complete {
+            self.send_message(backend, BackendMessage::AttemptSent);
         }
         true
     }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -23,14 +23,16 @@
     Class::new(ms(200), ms(500), effect)
 }
 
-/// A balancer with this class and `backends` ready backends, its limit known.
+/// A balancer with one class of this effect, `backends` ready backends and a known limit.
 fn balancer(effect: Effect, backends: u8) -> Balancer {
     let mut balancer = Balancer::new(Settings::for_classes(vec![class(effect)]), 1, START, &mut Vec::new());
     for n in 0..backends {
-        balancer.backends.insert(id(n), Backend { listing: listing(n), heard: START, ..Backend::default() });
+        balancer
+            .backends
+            .insert(id(n), Backend { listing: listing(n), last_response: START, ..Backend::default() });
     }
     balancer.tier.limit = 10.0;
-    balancer.tier.ready_and_out = (backends.into(), 0.0);
+    balancer.tier.ready_and_ejected = (backends.into(), 0.0);
     balancer.now = START;
     balancer
 }
@@ -41,18 +43,18 @@
     Request { id, class, tenant, key, deadline, cost: None, complete: true }
 }
 
-fn held(effect: Effect) -> Held {
-    let (target, due) = (START + ms(200), START + ms(200));
+fn pending(effect: Effect) -> PendingRequest {
+    let (target, respond_by) = (START + ms(200), START + ms(200));
     let (arrived, class) = (START, class(effect));
-    Held::new(class, arrived, target, due, false)
+    PendingRequest::new(class, arrived, target, respond_by, false)
 }
 
-/// A request that has been forwarded once, to backend 0.
-fn forwarded(effect: Effect) -> Held {
-    Held { sent: 1, out: Some((listing(0), START)), ..held(effect) }
+/// A pending request whose first attempt runs at backend 0.
+fn running(effect: Effect) -> PendingRequest {
+    PendingRequest { attempts: 1, running: Some((listing(0), START)), ..pending(effect) }
 }
 
-fn ended(outcome: Outcome) -> AttemptEnd {
+fn attempt_end(outcome: Outcome) -> AttemptEnd {
     let (attempt, took) = (AttemptNo(0), ms(50));
     let (request, backend) = (RequestId(1), id(0));
     AttemptEnd {
@@ -71,541 +73,575 @@
     Effect::Keyed { group: Group::Pod, window: ms(1000) }
 }
 
-/// What a backend is told of its surroundings, with everything it says thrown away.
-fn around<'a>(
+/// A context for a backend that is not part of the balancer.
+fn context<'a>(
     b: &'a Balancer,
-    inbox: &'a mut Vec<TierNote>,
-    out: &'a mut Vec<Action>,
+    tier_inbox: &'a mut Vec<TierMessage>,
+    actions: &'a mut Vec<Action>,
     now: Time,
-) -> Around<'a> {
-    Around { now, tier: &b.tier, settings: &b.settings, chance: 0.5, tier_inbox: inbox, out }
+) -> BackendContext<'a> {
+    BackendContext { now, tier: &b.tier, settings: &b.settings, chance: 0.5, tier_inbox, actions }
 }
 
-fn first_pick(b: &mut Balancer) -> Option<BackendId> {
-    b.pick(RequestId(1)).map(|two| two[0])
+fn choose(b: &mut Balancer) -> Option<BackendId> {
+    b.choose_backends(RequestId(1)).map(|pair| pair[0])
 }
 
 #[test]
-fn at_most_once_is_failed_after_an_outcome_that_may_have_run() {
-    let (mut b, mut out) = (balancer(Effect::AtMostOnce, 4), Vec::new());
-    b.desk.held.insert(RequestId(1), forwarded(Effect::AtMostOnce));
-    b.ended(ended(Outcome::Error), &mut out);
-    assert_eq!(out, [Action::Fail { request: RequestId(1), reason: Reason::MayHaveRun }]);
+fn at_most_once_fails_after_an_outcome_that_may_have_run() {
+    let (mut b, mut actions) = (balancer(Effect::AtMostOnce, 4), Vec::new());
+    b.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
+    b.attempt_ended(attempt_end(Outcome::Error), &mut actions);
+    assert_eq!(actions, [Action::Fail { request: RequestId(1), reason: Reason::MayHaveRun }]);
 }
 
 #[test]
-fn at_most_once_goes_again_after_an_outcome_that_proves_it_never_ran() {
+fn at_most_once_is_retried_after_an_outcome_that_proves_it_never_ran() {
     let mut b = balancer(Effect::AtMostOnce, 4);
-    b.desk.held.insert(RequestId(1), forwarded(Effect::AtMostOnce));
-    b.ended(ended(Outcome::Full), &mut Vec::new());
-    assert_eq!(b.desk.further, [RequestId(1)]);
+    b.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
+    b.attempt_ended(attempt_end(Outcome::Full), &mut Vec::new());
+    assert_eq!(b.queue.retries, [RequestId(1)]);
 }
 
 #[test]
-fn at_most_once_is_not_refused_while_an_attempt_is_out() {
-    let (mut b, mut out) = (balancer(Effect::AtMostOnce, 4), Vec::new());
-    b.desk.held.insert(RequestId(1), forwarded(Effect::AtMostOnce));
-    b.give_up(RequestId(1), Reason::OutOfTime, &mut out);
+fn at_most_once_is_not_refused_while_an_attempt_is_running() {
+    let (mut b, mut actions) = (balancer(Effect::AtMostOnce, 4), Vec::new());
+    b.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
+    b.give_up(RequestId(1), Reason::OutOfTime, &mut actions);
     let cancel = Action::Cancel { request: RequestId(1), attempt: AttemptNo(0) };
-    assert_eq!(out, [cancel, Action::Fail { request: RequestId(1), reason: Reason::OutOfTime }]);
+    assert_eq!(actions, [cancel, Action::Fail { request: RequestId(1), reason: Reason::OutOfTime }]);
 }
 
 #[test]
 fn a_keyed_repeat_stays_in_its_group() {
     let mut b = balancer(by_pod(), 6);
-    b.desk.held.insert(RequestId(1), Held { ran: Some((listing(2), START)), ..held(by_pod()) });
-    let picked: Vec<_> = (0..50).filter_map(|_| first_pick(&mut b)).collect();
-    assert!(picked.contains(&id(2)) && picked.contains(&id(3)));
-    assert!(picked.iter().all(|backend| *backend == id(2) || *backend == id(3)));
+    b.queue
+        .pending
+        .insert(RequestId(1), PendingRequest { first_run: Some((listing(2), START)), ..pending(by_pod()) });
+    let chosen: Vec<_> = (0..50).filter_map(|_| choose(&mut b)).collect();
+    assert!(chosen.contains(&id(2)) && chosen.contains(&id(3)));
+    assert!(chosen.iter().all(|backend| *backend == id(2) || *backend == id(3)));
 }
 
 #[test]
 fn a_keyed_repeat_is_not_sent_after_its_window() {
     let mut b = balancer(by_pod(), 6);
-    b.desk.held.insert(RequestId(1), Held { ran: Some((listing(2), START)), ..held(by_pod()) });
+    b.queue
+        .pending
+        .insert(RequestId(1), PendingRequest { first_run: Some((listing(2), START)), ..pending(by_pod()) });
     b.now = START + ms(1000);
-    assert_eq!(first_pick(&mut b), None);
+    assert_eq!(choose(&mut b), None);
 }
 
 #[test]
-fn a_draining_backend_gets_nothing() {
+fn a_draining_backend_gets_no_requests() {
     let mut b = balancer(Effect::Safe, 2);
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
     b.backends.get_mut(&id(0)).unwrap().listing.condition = Condition::Draining;
-    assert!((0..20).all(|_| first_pick(&mut b) == Some(id(1))));
+    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
 }
 
 #[test]
-fn a_backend_that_a_whole_list_leaves_out_is_gone() {
+fn a_backend_missing_from_a_full_list_is_gone() {
     let mut b = balancer(Effect::Safe, 2);
     b.handle(START, Event::ListReceived { full: true, listings: vec![listing(1)] }, &mut Vec::new());
     assert_eq!(b.backends[&id(0)].listing.condition, Condition::Gone);
     assert_eq!(b.backends[&id(1)].listing.condition, Condition::Ready);
 }
 
-/// How long it waits, each time, until it asks for the list again.
-fn watch_waits(out: &[Action]) -> Vec<Span> {
-    let wait = |action: &Action| match action {
-        Action::SetTimer { after, id: MARK_WATCH } => Some(*after),
+/// The delays after which the list is fetched again.
+fn watch_delays(actions: &[Action]) -> Vec<Span> {
+    let delay = |action: &Action| match action {
+        Action::SetTimer { after, id: WATCH_TIMER } => Some(*after),
         _ => None,
     };
-    out.iter().filter_map(wait).collect()
+    actions.iter().filter_map(delay).collect()
 }
 
 #[test]
-fn a_lost_watch_is_asked_for_again_later_each_time() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 1), Vec::new());
-    (0..4).for_each(|_| b.handle(START, Event::ListFailed, &mut out));
-    let waits = watch_waits(&out);
-    assert_eq!(waits.len(), 4);
-    assert!(waits[3] > waits[0]);
+fn a_failed_watch_is_retried_after_a_growing_delay() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
+    (0..4).for_each(|_| b.handle(START, Event::ListFailed, &mut actions));
+    let delays = watch_delays(&actions);
+    assert_eq!(delays.len(), 4);
+    assert!(delays[3] > delays[0]);
 }
 
-/// What discovery has to tell counts as told 6 s later. A call that is lost may have taken 3.25 s of them, and the next
-/// one is to have 1.25 s for its answer.
+/// A change that discovery publishes has to be known within 6 s. A fetch that fails may take 3.25 s of them,
+/// and the next one needs 1.25 s for its response, which leaves at most 1.5 s between the two.
 #[test]
-fn a_lost_watch_is_asked_for_again_while_a_drain_can_still_be_heard_in_time() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 1), Vec::new());
-    (0..500).for_each(|_| b.handle(START, Event::ListFailed, &mut out));
-    let longest = watch_waits(&out).into_iter().max().unwrap().ms();
+fn the_retry_delay_of_a_failed_watch_leaves_time_to_learn_of_a_drain() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
+    (0..500).for_each(|_| b.handle(START, Event::ListFailed, &mut actions));
+    let longest = watch_delays(&actions).into_iter().max().unwrap().ms();
     assert!((1250.0..=1500.0).contains(&longest), "{longest}");
 }
 
 #[test]
-fn the_limit_holds_what_is_above_it() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 3), Vec::new());
+fn requests_above_the_limit_wait() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
     b.tier.in_flight = 10.0;
-    b.handle(START, Event::RequestReceived(request(1)), &mut out);
-    assert_eq!(b.desk.first, [RequestId(1)]);
-    assert!(!out.iter().any(|action| matches!(action, Action::Attempt { .. })));
+    b.handle(START, Event::RequestReceived(request(1)), &mut actions);
+    assert_eq!(b.queue.first_attempts, [RequestId(1)]);
+    assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })));
 }
 
 #[test]
-fn past_three_limits_all_are_refused_at_once() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 3), Vec::new());
+fn above_three_times_the_limit_all_requests_are_refused_at_once() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
     b.tier.in_flight = 30.0;
-    b.taken(request(1), &mut out);
-    assert!(matches!(out.last(), Some(Action::Refuse { request: RequestId(1), backoff: Some(_), .. })));
+    b.request_received(request(1), &mut actions);
+    assert!(matches!(actions.last(), Some(Action::Refuse { request: RequestId(1), backoff: Some(_), .. })));
 }
 
 #[test]
-fn within_the_refusal_band_what_is_beyond_a_share_goes_first() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 3), Vec::new());
+fn between_two_and_three_limits_requests_over_quota_are_refused_first() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
     b.tier.in_flight = 30.0;
-    b.desk.held.insert(RequestId(7), Held { beyond_share: true, ..held(Effect::Safe) });
-    b.desk.first.push(RequestId(7));
-    b.taken(request(1), &mut out);
-    assert_eq!(b.desk.first, [RequestId(1)]);
+    b.queue.pending.insert(RequestId(7), PendingRequest { over_quota: true, ..pending(Effect::Safe) });
+    b.queue.first_attempts.push(RequestId(7));
+    b.request_received(request(1), &mut actions);
+    assert_eq!(b.queue.first_attempts, [RequestId(1)]);
 }
 
 #[test]
 fn a_request_that_waited_too_long_is_refused_and_not_sent() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 3), Vec::new());
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
-    b.desk.first.push(RequestId(1));
+    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    b.queue.first_attempts.push(RequestId(1));
     b.tier.latency.add(100.0, 1.0);
     b.now = START + ms(120);
-    assert!(!b.serve(&mut out));
-    assert!(matches!(out[..], [Action::Refuse { request: RequestId(1), .. }]));
+    assert!(!b.send_next(&mut actions));
+    assert!(matches!(actions[..], [Action::Refuse { request: RequestId(1), .. }]));
 }
 
-/// Guards against failing, for the slow refusal of one backend, what its caller may not repeat.
+/// Guards against failing an at-most-once request, which its client must not repeat, because one backend was
+/// slow to refuse it.
 #[test]
-fn what_may_run_only_once_goes_on_while_a_usual_answer_can_be_in_time() {
+fn an_at_most_once_retry_is_sent_while_a_mean_response_can_be_in_time() {
     for (effect, attempts) in [(Effect::AtMostOnce, 1), (Effect::Safe, 0)] {
-        let (mut b, mut out) = (balancer(effect, 4), Vec::new());
-        b.tier.took.add(40.0, 1.0);
+        let (mut b, mut actions) = (balancer(effect, 4), Vec::new());
+        b.tier.response_ms.add(40.0, 1.0);
         b.tier.latency.add(150.0, 1.0);
-        b.desk.held.insert(RequestId(1), Held { sent: 1, ..held(effect) });
-        b.desk.further.push(RequestId(1));
+        b.queue.pending.insert(RequestId(1), PendingRequest { attempts: 1, ..pending(effect) });
+        b.queue.retries.push(RequestId(1));
         b.now = START + ms(50);
-        b.serve(&mut out);
-        let sent = out.iter().filter(|action| matches!(action, Action::Attempt { .. })).count();
-        assert_eq!(sent, attempts, "{out:?}");
+        b.send_next(&mut actions);
+        let sent = actions.iter().filter(|action| matches!(action, Action::Attempt { .. })).count();
+        assert_eq!(sent, attempts, "{actions:?}");
     }
 }
 
 #[test]
-fn first_attempts_are_served_before_further_ones() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 3), Vec::new());
+fn first_attempts_are_sent_before_retries() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
     for n in [1, 2] {
-        b.desk.held.insert(RequestId(n), held(Effect::Safe));
+        b.queue.pending.insert(RequestId(n), pending(Effect::Safe));
     }
-    (b.desk.further, b.desk.first) = (vec![RequestId(1)], vec![RequestId(2)]);
-    b.serve(&mut out);
-    assert!(matches!(out[..], [Action::Attempt { request: RequestId(2), .. }]));
+    (b.queue.retries, b.queue.first_attempts) = (vec![RequestId(1)], vec![RequestId(2)]);
+    b.send_next(&mut actions);
+    assert!(matches!(actions[..], [Action::Attempt { request: RequestId(2), .. }]));
 }
 
 #[test]
-fn without_a_retry_budget_what_may_have_run_is_not_sent_again() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 3), Vec::new());
-    b.desk.held.insert(RequestId(1), forwarded(Effect::Safe));
-    b.desk.retry_budget = 0.5;
-    b.ended(ended(Outcome::Error), &mut out);
-    assert!(matches!(out[..], [Action::Refuse { .. }]));
+fn without_retry_budget_a_request_that_may_have_run_is_not_retried() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    b.queue.pending.insert(RequestId(1), running(Effect::Safe));
+    b.queue.retry_budget = 0.5;
+    b.attempt_ended(attempt_end(Outcome::Error), &mut actions);
+    assert!(matches!(actions[..], [Action::Refuse { .. }]));
 }
 
 #[test]
-fn the_time_out_ends_before_the_target_and_the_stand_in_timer_after_it() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 1), Vec::new());
-    b.handle(START, Event::RequestReceived(request(1)), &mut out);
-    let Action::SetTimer { after, .. } = out[0] else { panic!("{out:?}") };
-    let Action::Attempt { timeout: time_out, .. } = out[1] else { panic!("{out:?}") };
-    assert!(time_out < after && after < ms(200));
+fn the_attempt_times_out_before_the_request_timer_and_the_target() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
+    b.handle(START, Event::RequestReceived(request(1)), &mut actions);
+    let Action::SetTimer { after, .. } = actions[0] else { panic!("{actions:?}") };
+    let Action::Attempt { timeout, .. } = actions[1] else { panic!("{actions:?}") };
+    assert!(timeout < after && after < ms(200));
 }
 
 #[test]
-fn a_stream_that_has_begun_is_left_to_the_client() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 1), Vec::new());
+fn a_stream_that_has_started_is_left_to_the_client() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
     b.handle(START, Event::RequestReceived(request(1)), &mut Vec::new());
-    b.handle(START, Event::ResponseStarted { request: RequestId(1), backend: id(0), took: ms(5) }, &mut out);
-    b.handle(START + ms(500), Event::TimerExpired(TimerId(1)), &mut out);
-    assert_eq!(out, []);
+    b.handle(
+        START,
+        Event::ResponseStarted { request: RequestId(1), backend: id(0), took: ms(5) },
+        &mut actions,
+    );
+    b.handle(START + ms(500), Event::TimerExpired(TimerId(1)), &mut actions);
+    assert_eq!(actions, []);
 }
 
 #[test]
-fn a_backend_goes_out_on_failures_that_its_peers_do_not_share() {
-    let (b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+fn a_backend_is_ejected_for_failures_that_its_peers_do_not_share() {
+    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let mut backend = Backend { in_flight: 2.0, ..Backend::default() };
-    let mut around = around(&b, &mut inbox, &mut out, START);
-    backend.ended(&ended(Outcome::Error), None, &mut around);
-    assert_eq!(backend.out, None);
-    backend.ended(&ended(Outcome::Error), None, &mut around);
-    assert!(backend.out.is_some());
+    let mut context = context(&b, &mut tier_inbox, &mut actions, START);
+    backend.attempt_ended(&attempt_end(Outcome::Error), None, &mut context);
+    assert_eq!(backend.ejected_until, None);
+    backend.attempt_ended(&attempt_end(Outcome::Error), None, &mut context);
+    assert!(backend.ejected_until.is_some());
 }
 
 #[test]
-fn failures_that_all_share_are_no_backends_fault() {
-    let (mut b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    b.tier.failing = 0.5;
+fn failures_that_all_backends_share_eject_none() {
+    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    b.tier.failure_ratio = 0.5;
     let mut backend = Backend { in_flight: 9.0, ..Backend::default() };
-    let mut around = around(&b, &mut inbox, &mut out, START);
-    (0..9).for_each(|_| backend.ended(&ended(Outcome::Error), None, &mut around));
-    assert_eq!(backend.out, None);
+    let mut context = context(&b, &mut tier_inbox, &mut actions, START);
+    (0..9).for_each(|_| backend.attempt_ended(&attempt_end(Outcome::Error), None, &mut context));
+    assert_eq!(backend.ejected_until, None);
 }
 
-/// Guards against a backend that fails quickly, and so looks idle, drawing picks at each of many instances until
-/// each has learnt of it anew.
+/// Guards against a backend that fails quickly, and so looks idle, attracting requests from each of many
+/// instances until each has learnt that it fails.
 #[test]
-fn a_backend_that_fails_more_than_its_tier_is_passed_over_from_the_first_failure_on() {
+fn a_backend_that_fails_more_than_its_tier_is_avoided_from_the_first_failure_on() {
     let mut b = balancer(Effect::Safe, 2);
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
-    b.tier.took.add(50.0, 1.0);
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    b.tier.response_ms.add(50.0, 1.0);
     for n in [0, 1] {
-        b.tell(id(n), BackendNote::Sent);
+        b.send_message(id(n), BackendMessage::AttemptSent);
         let outcome = if n == 0 { Outcome::Error } else { Outcome::Served };
-        let end = AttemptEnd { backend: id(n), request: RequestId(2), ..ended(outcome) };
+        let end = AttemptEnd { backend: id(n), request: RequestId(2), ..attempt_end(outcome) };
         b.handle(START, Event::AttemptEnded(end), &mut Vec::new());
     }
-    assert!(b.backends[&id(0)].out.is_none());
-    assert!((0..20).all(|_| first_pick(&mut b) == Some(id(1))));
-    // What it did is forgotten with time.
-    (0..400).for_each(|_| b.handle(START, Event::TimerExpired(MARK_TICK), &mut Vec::new()));
-    assert!((0..40).any(|_| first_pick(&mut b) == Some(id(0))));
+    assert!(b.backends[&id(0)].ejected_until.is_none());
+    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
+    // Failures are forgotten with time.
+    (0..400).for_each(|_| b.handle(START, Event::TimerExpired(TICK_TIMER), &mut Vec::new()));
+    assert!((0..40).any(|_| choose(&mut b) == Some(id(0))));
 }
 
-/// Guards against each backend of a lost zone being met, and lost a request to, before it is known.
+/// Guards against losing a request to each backend of a failed zone before its failure is known.
 #[test]
-fn backends_that_fail_tell_of_others_in_their_zone_and_shared_failures_of_none() {
+fn failures_of_one_zone_raise_the_load_of_its_other_backends_and_shared_failures_do_not() {
     let mut b = balancer(Effect::Safe, 4);
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
     let zone = |n: u16| ZoneId(n / 2);
     b.backends.values_mut().zip(0u16..).for_each(|(backend, n)| backend.listing.zone = zone(n));
     let fail = |b: &mut Balancer, n| {
-        b.tell(id(n), BackendNote::Checked(Outcome::ConnectFailed, Load::default()));
+        b.send_message(id(n), BackendMessage::CheckEnded(Outcome::ConnectFailed, Load::default()));
         b.handle(START, Event::ClientGone(RequestId(9)), &mut Vec::new());
     };
     (0..3).for_each(|_| fail(&mut b, 0));
-    assert!(b.load_of(id(1)) > 1.2 * b.load_of(id(2)));
+    assert!(b.backend_load(id(1)) > 1.2 * b.backend_load(id(2)));
     (0..60).for_each(|n| fail(&mut b, n % 4));
-    assert!(b.load_of(id(1)) < 1.2 * b.load_of(id(2)));
+    assert!(b.backend_load(id(1)) < 1.2 * b.backend_load(id(2)));
 }
 
 #[test]
-fn a_backend_that_a_check_does_not_reach_is_out_and_no_request_waits_for_it() {
-    let mut b = asking();
-    b.tier.ready_and_out = (9.0, 0.0);
-    b.backends.get_mut(&id(1)).unwrap().others = Some((START + ms(1), 3.0));
+fn a_backend_that_a_check_cannot_reach_is_ejected_and_no_request_waits_for_it() {
+    let mut b = awaiting_reports();
+    b.tier.ready_and_ejected = (9.0, 0.0);
+    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START + ms(1), 3.0));
     let (outcome, took, load) = (Outcome::ConnectFailed, ms(1), Load::default());
-    let mut out = Vec::new();
-    b.handle(START + ms(2), Event::CheckEnded { backend: id(0), outcome, took, load }, &mut out);
-    assert!(out.iter().any(|action| matches!(action, Action::Attempt { backend, .. } if *backend == id(1))));
+    let mut actions = Vec::new();
+    b.handle(START + ms(2), Event::CheckEnded { backend: id(0), outcome, took, load }, &mut actions);
+    assert!(actions
+        .iter()
+        .any(|action| matches!(action, Action::Attempt { backend, .. } if *backend == id(1))));
 }
 
 #[test]
-fn no_more_than_a_part_of_the_ready_is_out() {
-    let (mut b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    b.tier.ready_and_out = (4.0, 1.0);
+fn only_a_part_of_the_ready_backends_is_ejected() {
+    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    b.tier.ready_and_ejected = (4.0, 1.0);
     let mut backend = Backend::default();
-    backend.put_out("failing", &mut around(&b, &mut inbox, &mut out, START));
-    assert_eq!(backend.out, None);
+    backend.eject("failing", &mut context(&b, &mut tier_inbox, &mut actions, START));
+    assert_eq!(backend.ejected_until, None);
 }
 
 #[test]
-fn a_silent_backend_goes_out_and_its_attempts_leave_the_limit() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 4), Vec::new());
+fn a_silent_backend_is_ejected_and_its_attempts_no_longer_count() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 4), Vec::new());
     b.tier.latency.add(100.0, 1.0);
     let hung = b.backends.get_mut(&id(0)).unwrap();
-    (hung.in_flight, hung.counted, b.tier.in_flight) = (3.0, 3.0, 3.0);
-    b.handle(START + ms(400), Event::TimerExpired(MARK_TICK), &mut out);
-    assert!(b.backends[&id(0)].out.is_some());
+    (hung.in_flight, hung.counted_in_flight, b.tier.in_flight) = (3.0, 3.0, 3.0);
+    b.handle(START + ms(400), Event::TimerExpired(TICK_TIMER), &mut actions);
+    assert!(b.backends[&id(0)].ejected_until.is_some());
     assert_eq!(b.tier.in_flight, 0.0);
 }
 
 #[test]
-fn a_backend_that_is_out_says_nothing_to_the_limit_and_returns_with_an_answer() {
-    let (b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    let mut backend = Backend { in_flight: 1.0, out: Some(START), ..Backend::default() };
-    let mut around = around(&b, &mut inbox, &mut out, START);
-    backend.ended(&ended(Outcome::Served), Some((ms(50), true)), &mut around);
-    assert!(!inbox.iter().any(|note| matches!(note, TierNote::Sample(..))));
-    assert_eq!((backend.out, backend.cap), (None, Some(1.0)));
+fn an_ejected_backend_adds_no_latency_samples_and_is_readmitted_on_a_response() {
+    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    let mut backend = Backend { in_flight: 1.0, ejected_until: Some(START), ..Backend::default() };
+    let mut context = context(&b, &mut tier_inbox, &mut actions, START);
+    backend.attempt_ended(&attempt_end(Outcome::Served), Some((ms(50), true)), &mut context);
+    assert!(!tier_inbox.iter().any(|message| matches!(message, TierMessage::LatencySample(..))));
+    assert_eq!((backend.ejected_until, backend.max_in_flight), (None, Some(1.0)));
 }
 
 #[test]
-fn an_attempt_given_up_counts_as_in_flight_until_its_work_is_likely_done() {
-    let (b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+fn an_abandoned_attempt_counts_as_in_flight_until_its_work_is_likely_done() {
+    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let mut backend = Backend { in_flight: 1.0, ..Backend::default() };
-    backend.ended(&ended(Outcome::TimedOut), None, &mut around(&b, &mut inbox, &mut out, START));
-    assert_eq!(backend.holds(), 1.0);
-    backend.tick(&mut around(&b, &mut inbox, &mut out, START + ms(110)));
-    assert_eq!(backend.holds(), 0.0);
+    backend.attempt_ended(
+        &attempt_end(Outcome::TimedOut),
+        None,
+        &mut context(&b, &mut tier_inbox, &mut actions, START),
+    );
+    assert_eq!(backend.occupancy(), 1.0);
+    backend.tick(&mut context(&b, &mut tier_inbox, &mut actions, START + ms(110)));
+    assert_eq!(backend.occupancy(), 0.0);
 }
 
-/// Guards against a dead backend drawing all picks, since it is never busy, where no further one may be out.
+/// Guards against a dead backend, which is never busy, attracting all requests when no more backends may be
+/// ejected.
 #[test]
-fn a_backend_that_refuses_connections_rests_also_where_it_may_not_go_out() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 2), Vec::new());
-    b.tier.took.add(60.0, 1.0);
-    b.tier.ready_and_out = (2.0, 1.0);
+fn a_backend_that_refuses_connections_rests_even_if_it_may_not_be_ejected() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 2), Vec::new());
+    b.tier.response_ms.add(60.0, 1.0);
+    b.tier.ready_and_ejected = (2.0, 1.0);
     let mut backend = Backend { in_flight: 1.0, listing: listing(0), ..Backend::default() };
-    let note = BackendNote::Ended(ended(Outcome::ConnectFailed), None);
-    backend.act(note, &mut around(&b, &mut Vec::new(), &mut out, START));
-    assert!(backend.out.is_none());
-    assert!(!backend.ready(START + ms(20), &b.settings) && backend.ready(START + ms(100), &b.settings));
+    let message = BackendMessage::AttemptEnded(attempt_end(Outcome::ConnectFailed), None);
+    backend.handle(message, &mut context(&b, &mut Vec::new(), &mut actions, START));
+    assert!(backend.ejected_until.is_none());
+    assert!(!backend.is_ready(START + ms(20), &b.settings) && backend.is_ready(START + ms(100), &b.settings));
 }
 
 #[test]
 fn a_full_backend_rests() {
-    let (mut b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    b.tier.took.add(40.0, 1.0);
+    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    b.tier.response_ms.add(40.0, 1.0);
     let mut backend = Backend { in_flight: 1.0, ..Backend::default() };
-    backend.ended(&ended(Outcome::Full), None, &mut around(&b, &mut inbox, &mut out, START));
-    assert!(!backend.ready(START, &b.settings));
-    assert!(backend.ready(START + ms(40), &b.settings));
+    backend.attempt_ended(
+        &attempt_end(Outcome::Full),
+        None,
+        &mut context(&b, &mut tier_inbox, &mut actions, START),
+    );
+    assert!(!backend.is_ready(START, &b.settings));
+    assert!(backend.is_ready(START + ms(40), &b.settings));
 }
 
 #[test]
-fn a_cold_backend_waits_for_credit_and_gets_one_at_a_time() {
-    let (b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+fn a_backend_in_slow_start_waits_for_credit_and_gets_one_attempt_at_a_time() {
+    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let mut backend = Backend { listing: listing(0), ..Backend::default() };
-    let cold = Listing { started: Some(START), ..listing(0) };
-    backend.act(BackendNote::Listed(cold), &mut around(&b, &mut inbox, &mut out, START));
-    assert!(!backend.ready(START, &b.settings));
-    backend.credit = 1.0;
-    assert!(backend.ready(START, &b.settings));
+    let started = Listing { started: Some(START), ..listing(0) };
+    backend.handle(BackendMessage::Listed(started), &mut context(&b, &mut tier_inbox, &mut actions, START));
+    assert!(!backend.is_ready(START, &b.settings));
+    backend.slow_start_credit = 1.0;
+    assert!(backend.is_ready(START, &b.settings));
     backend.in_flight = 1.0;
-    assert!(!backend.ready(START, &b.settings));
+    assert!(!backend.is_ready(START, &b.settings));
 }
 
 #[test]
-fn a_cold_backends_credit_grows_slower_than_what_it_bears() {
-    let (mut b, mut inbox, mut out) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    let cold =
+fn slow_start_credit_grows_slower_than_the_capacity() {
+    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    let slow_start =
         SlowStart { initial_share: 0.2, ramp: ms(10_000), overload_ratio: 3.0, overload_window: ms(2000) };
-    (b.settings.slow_start, b.tier.rate) = (cold, 10.0);
+    (b.settings.slow_start, b.tier.rate_per_backend) = (slow_start, 10.0);
     let mut backend =
         Backend { listing: Listing { started: Some(START), ..listing(0) }, ..Backend::default() };
-    backend.tick(&mut around(&b, &mut inbox, &mut out, START));
-    assert!(backend.credit > 0.0 && backend.credit < 0.2 * 3.0 * 10.0 / TICKS_PER_S);
+    backend.tick(&mut context(&b, &mut tier_inbox, &mut actions, START));
+    assert!(backend.slow_start_credit > 0.0 && backend.slow_start_credit < 0.2 * 3.0 * 10.0 / TICKS_PER_S);
 }
 
-/// Guards against the attempt that an answer ends passing for one that others hold there.
+/// Guards against taking the attempt whose response brings the report for an attempt of another instance.
 #[test]
-fn the_report_that_comes_with_an_answer_counts_the_attempt_it_ends() {
+fn a_load_report_counts_the_attempt_whose_response_it_came_with() {
     let b = balancer(Effect::Safe, 1);
     let mut backend = Backend { in_flight: 2.0, ..Backend::default() };
     let load = Load { in_flight: Some(5.0), queued: None };
-    let end = AttemptEnd { load, ..ended(Outcome::Served) };
-    backend.act(BackendNote::Ended(end, None), &mut around(&b, &mut Vec::new(), &mut Vec::new(), START));
-    assert_eq!((backend.in_flight, backend.others), (1.0, Some((START, 3.0))));
+    let end = AttemptEnd { load, ..attempt_end(Outcome::Served) };
+    backend.handle(
+        BackendMessage::AttemptEnded(end, None),
+        &mut context(&b, &mut Vec::new(), &mut Vec::new(), START),
+    );
+    assert_eq!((backend.in_flight, backend.reported_others), (1.0, Some((START, 3.0))));
 }
 
-/// Guards against a restarted backend being put out, or thought busy, for what its last run did.
+/// Guards against ejecting a restarted backend, or taking it for busy, because of its previous process.
 #[test]
-fn what_was_sent_before_a_start_tells_nothing_of_the_backend() {
+fn attempts_sent_before_a_restart_say_nothing_about_the_backend() {
     let b = balancer(Effect::Safe, 1);
     let restarted = Listing { started: Some(START + ms(10)), ..listing(0) };
     let mut backend = Backend { in_flight: 2.0, listing: restarted, ..Backend::default() };
-    for (now, strikes) in [(START + ms(50), 0.0), (START + ms(70), 1.0)] {
-        let end = AttemptEnd { load: Load { in_flight: Some(5.0), queued: None }, ..ended(Outcome::Broken) };
-        backend.act(BackendNote::Ended(end, None), &mut around(&b, &mut Vec::new(), &mut Vec::new(), now));
-        assert_eq!((backend.strikes, backend.others.is_some()), (strikes, strikes > 0.0));
+    for (now, failure_score) in [(START + ms(50), 0.0), (START + ms(70), 1.0)] {
+        let end =
+            AttemptEnd { load: Load { in_flight: Some(5.0), queued: None }, ..attempt_end(Outcome::Broken) };
+        backend.handle(
+            BackendMessage::AttemptEnded(end, None),
+            &mut context(&b, &mut Vec::new(), &mut Vec::new(), now),
+        );
+        assert_eq!(
+            (backend.failure_score, backend.reported_others.is_some()),
+            (failure_score, failure_score > 0.0)
+        );
     }
     assert_eq!(backend.in_flight, 0.0);
 }
 
 #[test]
-fn the_pick_takes_the_one_with_less_to_do() {
+fn the_backend_with_the_lower_load_is_chosen() {
     let mut b = balancer(Effect::Safe, 2);
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
-    b.backends.get_mut(&id(0)).unwrap().others = Some((START, 5.0));
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    b.backends.get_mut(&id(0)).unwrap().reported_others = Some((START, 5.0));
     b.backends.get_mut(&id(1)).unwrap().in_flight = 2.0;
-    b.backends.get_mut(&id(1)).unwrap().others = Some((START, 0.0));
-    assert!((0..20).all(|_| first_pick(&mut b) == Some(id(1))));
+    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START, 0.0));
+    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
 }
 
-/// A tier with a full window of samples that took `ms` each.
-fn tier(took: i64) -> Tier {
+/// A tier with a full window of samples of this latency in ms.
+fn tier(latency_ms: i64) -> Tier {
     let mut tier = Tier { limit: 20.0, ..Tier::default() };
-    (0..60).for_each(|n| tier.samples.add(START + ms(n * 40), ms(took).ms(), true));
+    (0..60).for_each(|n| tier.latency_samples.add(START + ms(n * 40), ms(latency_ms).ms(), true));
     tier
 }
 
 #[test]
 fn the_limit_rises_without_a_queue_and_falls_with_one() {
-    let mut calm = tier(100);
-    calm.update(START + ms(2400), 20.0);
-    assert!(calm.limit > 20.0);
-    let mut jammed = tier(1000);
-    jammed.baseline.add(100.0, 1.0);
-    jammed.update(START + ms(2400), 20.0);
-    assert!(jammed.limit < 20.0);
+    let mut idle = tier(100);
+    idle.update_limit(START + ms(2400), 20.0);
+    assert!(idle.limit > 20.0);
+    let mut queueing = tier(1000);
+    queueing.baseline.add(100.0, 1.0);
+    queueing.update_limit(START + ms(2400), 20.0);
+    assert!(queueing.limit < 20.0);
 }
 
 #[test]
-fn much_lateness_lowers_the_limit_where_a_queue_shows_at_all() {
-    let mut late = Tier { late: Mean::of(0.3), ..tier(100) };
+fn many_late_responses_lower_the_limit_if_there_is_any_queue() {
+    let mut late = Tier { late_ratio: Mean::of(0.3), ..tier(100) };
     late.baseline.add(85.0, 1.0);
-    late.update(START + ms(2400), 20.0);
+    late.update_limit(START + ms(2400), 20.0);
     assert!(late.limit < 20.0);
-    let mut heavy = Tier { late: Mean::of(0.3), ..tier(100) };
-    heavy.update(START + ms(2400), 20.0);
-    assert!(heavy.limit > 20.0);
+    let mut without_queue = Tier { late_ratio: Mean::of(0.3), ..tier(100) };
+    without_queue.update_limit(START + ms(2400), 20.0);
+    assert!(without_queue.limit > 20.0);
 }
 
 #[test]
-fn a_baseline_set_in_a_jam_comes_down_with_the_latency() {
+fn a_baseline_set_under_load_falls_with_the_latency() {
     let mut tier = tier(100);
     tier.baseline.add(1000.0, 1.0);
-    tier.update(START + ms(2400), 20.0);
-    assert_eq!(tier.baseline.known(), Some(100.0));
+    tier.update_limit(START + ms(2400), 20.0);
+    assert_eq!(tier.baseline.value(), Some(100.0));
 }
 
 #[test]
-fn a_limit_that_nothing_judges_rises_back_to_its_start() {
+fn a_limit_without_samples_rises_back_to_its_initial_value() {
     let mut tier = Tier { limit: 4.0, ..Tier::default() };
-    (0..200).for_each(|_| tier.update(START, 20.0));
+    (0..200).for_each(|_| tier.update_limit(START, 20.0));
     assert_eq!(tier.limit, 20.0);
 }
 
 #[test]
-fn a_backend_that_is_out_gets_one_trial_after_its_rest() {
+fn an_ejected_backend_gets_one_trial_attempt_after_its_ejection() {
     let b = balancer(Effect::Safe, 4);
-    let mut backend = Backend { out: Some(START + ms(1000)), ..Backend::default() };
-    assert!(!backend.ready(START + ms(999), &b.settings));
-    assert!(backend.ready(START + ms(1000), &b.settings));
+    let mut backend = Backend { ejected_until: Some(START + ms(1000)), ..Backend::default() };
+    assert!(!backend.is_ready(START + ms(999), &b.settings));
+    assert!(backend.is_ready(START + ms(1000), &b.settings));
     backend.in_flight = 1.0;
-    assert!(!backend.ready(START + ms(1000), &b.settings));
+    assert!(!backend.is_ready(START + ms(1000), &b.settings));
 }
 
 #[test]
-fn shares_are_those_of_the_first_tier() {
-    let own = |tier| {
+fn only_the_first_tier_has_quotas() {
+    let quotas = |tier| {
         let settings = Settings { tier, tenant_quotas: vec![8.0], ..Settings::for_classes(Vec::new()) };
-        Balancer::new(settings, 1, START, &mut Vec::new()).desk.shares
+        Balancer::new(settings, 1, START, &mut Vec::new()).queue.remaining_quotas
     };
-    assert_eq!((own(0), own(1)), (vec![8.0], vec![]));
+    assert_eq!((quotas(0), quotas(1)), (vec![8.0], vec![]));
 }
 
 #[test]
-fn who_names_no_tenant_has_no_share_and_without_tenants_there_are_no_shares() {
-    let desk = |allowances| {
-        let settings = Settings { tenant_quotas: allowances, ..Settings::for_classes(Vec::new()) };
-        Balancer::new(settings, 1, START, &mut Vec::new()).desk
+fn unknown_tenants_have_no_quota_and_without_tenants_there_are_no_quotas() {
+    let queue = |tenant_quotas| {
+        let settings = Settings { tenant_quotas, ..Settings::for_classes(Vec::new()) };
+        Balancer::new(settings, 1, START, &mut Vec::new()).queue
     };
-    let (mut shared, mut free) = (desk(vec![8.0]), desk(Vec::new()));
-    assert!(!shared.goes_beyond(TenantId(0)) && shared.goes_beyond(TenantId::NONE));
-    assert!(!free.goes_beyond(TenantId::NONE));
+    let (mut with_quotas, mut without_quotas) = (queue(vec![8.0]), queue(Vec::new()));
+    assert!(!with_quotas.charge_quota(TenantId(0)) && with_quotas.charge_quota(TenantId::NONE));
+    assert!(!without_quotas.charge_quota(TenantId::NONE));
 }
 
-/// A balancer that asks the two it drew, with request 1 waiting for their reports.
-fn asking() -> Balancer {
+/// A balancer that has requested load reports from two backends, with request 1 waiting for them.
+fn awaiting_reports() -> Balancer {
     let mut b = balancer(Effect::Safe, 2);
     (b.settings.report_price, b.settings.instances) = (Some(0.001), 9);
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
-    b.desk.first.push(RequestId(1));
-    assert!(b.serve(&mut Vec::new()));
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    b.queue.first_attempts.push(RequestId(1));
+    assert!(b.send_next(&mut Vec::new()));
     b
 }
 
 #[test]
-fn where_instances_outnumber_backends_the_two_drawn_are_asked_first() {
-    let (mut b, mut out) = (balancer(Effect::Safe, 2), Vec::new());
+fn where_instances_outnumber_backends_load_reports_are_requested_first() {
+    let (mut b, mut actions) = (balancer(Effect::Safe, 2), Vec::new());
     (b.settings.report_price, b.settings.instances) = (Some(0.001), 9);
-    b.handle(START, Event::RequestReceived(request(1)), &mut out);
-    assert_eq!(out.iter().filter(|action| matches!(action, Action::Check { .. })).count(), 2);
-    assert!(!out.iter().any(|action| matches!(action, Action::Attempt { .. })));
+    b.handle(START, Event::RequestReceived(request(1)), &mut actions);
+    assert_eq!(actions.iter().filter(|action| matches!(action, Action::Check { .. })).count(), 2);
+    assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })));
 }
 
 #[test]
-fn the_less_busy_of_the_two_asked_gets_the_request() {
-    let mut b = asking();
+fn of_two_backends_with_reports_the_less_loaded_is_chosen() {
+    let mut b = awaiting_reports();
     let at = START + ms(1);
-    b.backends.get_mut(&id(0)).unwrap().others = Some((at, 3.0));
-    b.backends.get_mut(&id(1)).unwrap().others = Some((at, 0.0));
-    assert_eq!(b.answered(RequestId(1)), Some(id(1)));
+    b.backends.get_mut(&id(0)).unwrap().reported_others = Some((at, 3.0));
+    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((at, 0.0));
+    assert_eq!(b.choose_by_reports(RequestId(1)), Some(id(1)));
 }
 
 #[test]
-fn a_backend_that_does_not_say_what_it_holds_is_not_waited_for_long() {
-    let mut b = asking();
-    b.backends.get_mut(&id(1)).unwrap().others = Some((START + ms(1), 3.0));
+fn the_wait_for_a_missing_load_report_is_bounded() {
+    let mut b = awaiting_reports();
+    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START + ms(1), 3.0));
     b.now = START + ms(2);
-    assert_eq!(b.answered(RequestId(1)), None);
+    assert_eq!(b.choose_by_reports(RequestId(1)), None);
     b.now = START + ms(20);
-    assert_eq!(b.answered(RequestId(1)), Some(id(1)));
+    assert_eq!(b.choose_by_reports(RequestId(1)), Some(id(1)));
 }
 
 #[test]
-fn a_backend_asked_and_then_forgotten_is_not_sent_to() {
-    let mut b = asking();
+fn a_backend_removed_while_its_report_is_awaited_is_not_chosen() {
+    let mut b = awaiting_reports();
     b.backends.remove(&id(0));
     b.sampler = BackendSampler::default();
     b.now = START + ms(20);
-    assert_eq!(b.answered(RequestId(1)), Some(id(1)));
+    assert_eq!(b.choose_by_reports(RequestId(1)), Some(id(1)));
 }
 
-/// Draws from 12 backends, of which those below 3 are nearby, with only backend 7 open.
-fn draws(width: usize, near: bool, through_all: bool) -> usize {
+/// How many of 20 searches find the only eligible backend, number 7, among 12 of which 0 to 2 are in the own
+/// zone.
+fn samples_found(subset_size: usize, same_zone: bool, exhaustive: bool) -> usize {
     let all = (0..12).map(|n| Listing { zone: ZoneId(n / 3), ..listing(n as u8) });
-    let (sampler, mut rng) = (BackendSampler::new(all, ZoneId(0), width as f64, 0), Rand32::new(1));
-    (0..20).filter_map(|_| sampler.draw(&mut rng, near, through_all, |b| b == id(7))).count()
+    let (sampler, mut rng) = (BackendSampler::new(all, ZoneId(0), subset_size as f64, 0), Rand32::new(1));
+    (0..20)
+        .filter_map(|_| sampler.sample(&mut rng, same_zone, exhaustive, |backend| backend == id(7)))
+        .count()
 }
 
 #[test]
-fn a_draw_finds_the_one_that_is_open_outside_its_own_part_too() {
-    assert!(draws(12, false, false) > 10 && draws(3, false, false) > 10);
-    assert_eq!((draws(3, false, true), draws(3, true, false)), (20, 0));
+fn sampling_finds_an_eligible_backend_outside_the_subset() {
+    assert!(samples_found(12, false, false) > 10 && samples_found(3, false, false) > 10);
+    assert_eq!((samples_found(3, false, true), samples_found(3, true, false)), (20, 0));
 }
 
 #[test]
-fn of_many_instances_each_keeps_to_a_part_of_the_backends_and_all_are_kept_to() {
-    let mut kept = std::collections::BTreeMap::<_, usize>::new();
+fn each_of_many_instances_uses_a_subset_and_all_backends_are_used() {
+    let mut users = std::collections::BTreeMap::<_, usize>::new();
     for ordinal in 0..100 {
         let mut b = balancer(Effect::Safe, 20);
         (b.settings.instances, b.settings.ordinal) = (100, ordinal);
-        b.desk.held.insert(RequestId(1), held(Effect::Safe));
-        let own: std::collections::BTreeSet<_> = (0..200).filter_map(|_| first_pick(&mut b)).collect();
-        assert!(own.len() <= PART_LEAST as usize);
-        own.into_iter().for_each(|id| *kept.entry(id).or_default() += 1);
+        b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+        let subset: std::collections::BTreeSet<_> = (0..200).filter_map(|_| choose(&mut b)).collect();
+        assert!(subset.len() <= MIN_SUBSET_BACKENDS as usize);
+        subset.into_iter().for_each(|id| *users.entry(id).or_default() += 1);
     }
-    assert!(kept.len() == 20 && kept.values().all(|kept| *kept < 60), "{kept:?}");
+    assert!(users.len() == 20 && users.values().all(|count| *count < 60), "{users:?}");
 }
 
-/// Guards against a backend that leaves moving what the others remember, or are connected to.
+/// Guards against a removed backend moving keys that other backends remember, or subsets that instances are
+/// connected to.
 #[test]
-fn what_leaves_the_list_moves_only_what_was_there() {
+fn a_removed_backend_moves_only_its_own_keys() {
     let homes = |without: Option<u8>, key| {
         let all = (0..12).filter(|n| Some(*n) != without).map(listing);
         BackendSampler::new(all, ZoneId(0), 3.0, 0).homes(key, 2, |_| true)
@@ -620,275 +656,308 @@
 fn keyed(key: u64, backends: u8) -> Balancer {
     let mut b = balancer(Effect::Safe, backends);
     b.settings.key_affinity = true;
-    b.desk.held.insert(RequestId(1), Held { key: Some(key), ..held(Effect::Safe) });
+    b.queue.pending.insert(RequestId(1), PendingRequest { key: Some(key), ..pending(Effect::Safe) });
     b
 }
 
 #[test]
-fn a_key_has_one_home_until_it_is_busy_and_more_where_it_is_much_of_the_traffic() {
+fn a_key_has_one_home_until_it_is_busy_and_more_if_it_is_much_of_the_traffic() {
     let mut b = keyed(5, 20);
-    (100..160).for_each(|other| b.desk.keys.add(other));
+    (100..160).for_each(|other| b.queue.keys.add(other));
     let homes =
-        |b: &mut Balancer| (0..100).filter_map(|_| first_pick(b)).collect::<std::collections::BTreeSet<_>>();
+        |b: &mut Balancer| (0..100).filter_map(|_| choose(b)).collect::<std::collections::BTreeSet<_>>();
     let home = homes(&mut b);
     assert_eq!(home.len(), 1);
     b.backends.get_mut(home.first().unwrap()).unwrap().in_flight = 9.0;
     assert!(homes(&mut b).is_disjoint(&home));
     let mut b = keyed(5, 20);
-    (0..30).for_each(|n| b.desk.keys.add(if n % 3 == 0 { 5 } else { n }));
+    (0..30).for_each(|n| b.queue.keys.add(if n % 3 == 0 { 5 } else { n }));
     assert!(homes(&mut b).len() > 3);
 }
 
 #[test]
-fn a_further_attempt_goes_elsewhere_than_the_last() {
+fn a_retry_goes_to_another_backend_than_the_last_attempt() {
     let mut b = keyed(5, 20);
-    let home = first_pick(&mut b);
-    b.desk.held.get_mut(&RequestId(1)).unwrap().last = home;
-    assert!(first_pick(&mut b) != home);
+    let home = choose(&mut b);
+    b.queue.pending.get_mut(&RequestId(1)).unwrap().last_backend = home;
+    assert!(choose(&mut b) != home);
     (1..20).for_each(|n| drop(b.backends.remove(&id(n))));
     b.sampler = BackendSampler::default();
-    assert!(first_pick(&mut b) == Some(id(0)));
+    assert!(choose(&mut b) == Some(id(0)));
 }
 
 #[test]
-fn of_two_idle_backends_the_larger_is_picked() {
+fn of_two_idle_backends_the_larger_is_chosen() {
     let mut b = balancer(Effect::Safe, 2);
-    b.tier.size = 2.0;
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
+    b.tier.mean_size = 2.0;
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
     b.backends.get_mut(&id(0)).unwrap().listing.size = 3.0;
-    assert!((0..20).all(|_| first_pick(&mut b) == Some(id(0))));
+    assert!((0..20).all(|_| choose(&mut b) == Some(id(0))));
 }
 
 #[test]
-fn what_is_nearby_and_busy_is_weighed_against_the_unseen_load_far_away() {
+fn a_busy_backend_of_the_own_zone_is_weighed_against_unreported_load_elsewhere() {
     let mut b = balancer(Effect::Safe, 2);
     (b.settings.cross_zone_priced, b.tier.in_flight) = (true, 4.0);
     b.sampler = BackendSampler::new([listing(0), listing(1)].into_iter(), ZoneId(0), 2.0, 0);
-    let mut prefers_near = |near| {
-        b.backends.get_mut(&id(0)).unwrap().in_flight = near;
-        b.load_of(id(0)) < b.load_of(id(1))
+    let mut prefers_own_zone = |in_flight| {
+        b.backends.get_mut(&id(0)).unwrap().in_flight = in_flight;
+        b.backend_load(id(0)) < b.backend_load(id(1))
     };
-    assert!(prefers_near(2.0) && !prefers_near(3.0));
+    assert!(prefers_own_zone(2.0) && !prefers_own_zone(3.0));
 }
 
 #[test]
-fn attempts_that_are_lost_lower_the_limit_only_where_answers_show_a_queue() {
-    let lossy = |took: i64| {
-        let mut tier = tier(took);
-        (0..12).for_each(|n| tier.samples.add(START + ms(2390 + n), 1200.0, false));
+fn lost_attempts_lower_the_limit_only_if_responses_show_a_queue() {
+    let limit_after_losses = |latency_ms: i64| {
+        let mut tier = tier(latency_ms);
+        (0..12).for_each(|n| tier.latency_samples.add(START + ms(2390 + n), 1200.0, false));
         tier.baseline.add(100.0, 1.0);
-        tier.update(START + ms(2410), 20.0);
+        tier.update_limit(START + ms(2410), 20.0);
         tier.limit
     };
-    assert!(lossy(100) > 20.0 && lossy(300) < 20.0);
+    assert!(limit_after_losses(100) > 20.0 && limit_after_losses(300) < 20.0);
 }
 
 #[test]
-fn a_larger_backend_is_drawn_more_often() {
+fn a_larger_backend_is_sampled_more_often() {
     let all = [listing(0), Listing { size: 3.0, ..listing(1) }].into_iter();
     let (sampler, mut rng) = (BackendSampler::new(all, ZoneId(0), 2.0, 0), Rand32::new(1));
-    let large = (0..400).filter(|_| sampler.draw(&mut rng, false, false, |_| true) == Some(id(1))).count();
+    let large = (0..400).filter(|_| sampler.sample(&mut rng, false, false, |_| true) == Some(id(1))).count();
     assert!((260..340).contains(&large));
 }
 
 #[test]
-fn what_staff_bar_gets_nothing_until_it_is_called_back_and_then_starts_cold() {
+fn a_disabled_backend_gets_no_requests_until_enabled_and_then_starts_slowly() {
     let mut balancer = balancer(Effect::Safe, 2);
-    let (mut out, mut now) = (Vec::new(), START);
-    let bar = |barred| Event::SetDisabled { backend: id(0), disabled: barred };
-    balancer.handle(now, bar(true), &mut out);
-    assert_eq!(out, [Action::Withdraw { backend: id(0) }]);
-    // Nothing but the call back lifts it: not a list, and not one that told of a restart.
+    let (mut actions, mut now) = (Vec::new(), START);
+    let set_disabled = |disabled| Event::SetDisabled { backend: id(0), disabled };
+    balancer.handle(now, set_disabled(true), &mut actions);
+    assert_eq!(actions, [Action::Withdraw { backend: id(0) }]);
+    // Only operators enable it again: not a list, and not one that shows a restart.
     let restarted = Listing { started: Some(START), ..listing(0) };
-    balancer.handle(now, Event::ListReceived { full: true, listings: vec![restarted, listing(1)] }, &mut out);
-    // How many of these are sent to it; each is served at once.
-    let sent = |balancer: &mut Balancer, now, numbers: std::ops::Range<u32>| {
-        let to = numbers.map(|n| {
-            let mut out = Vec::new();
-            let taken = Request { deadline: now + ms(500), ..request(n) };
-            balancer.handle(now, Event::RequestReceived(taken), &mut out);
-            let attempt = out.iter().find_map(|action| match action {
+    balancer.handle(
+        now,
+        Event::ListReceived { full: true, listings: vec![restarted, listing(1)] },
+        &mut actions,
+    );
+    // Counts how many of these requests are sent to backend 0; each is served at once.
+    let sent_to_first = |balancer: &mut Balancer, now, numbers: std::ops::Range<u32>| {
+        let backends = numbers.map(|n| {
+            let mut actions = Vec::new();
+            let request = Request { deadline: now + ms(500), ..request(n) };
+            balancer.handle(now, Event::RequestReceived(request), &mut actions);
+            let attempt = actions.iter().find_map(|action| match action {
                 Action::Attempt { backend, .. } => Some(*backend),
                 _ => None,
             });
-            let backend = attempt.expect("one of the two is open");
-            let done = AttemptEnd {
+            let backend = attempt.expect("one of the two backends is eligible");
+            let end = AttemptEnd {
                 request: RequestId(n.into()),
                 backend,
                 answered: true,
-                ..ended(Outcome::Served)
+                ..attempt_end(Outcome::Served)
             };
-            balancer.handle(now, Event::AttemptEnded(done), &mut out);
+            balancer.handle(now, Event::AttemptEnded(end), &mut actions);
             backend
         });
-        to.filter(|backend| *backend == id(0)).count()
+        backends.filter(|backend| *backend == id(0)).count()
     };
-    assert_eq!(sent(&mut balancer, now, 0..50), 0);
+    assert_eq!(sent_to_first(&mut balancer, now, 0..50), 0);
     assert_eq!(balancer.excluded_count(), 1);
-    balancer.handle(now, bar(true), &mut out);
-    balancer.handle(now, bar(false), &mut out);
-    assert_eq!((balancer.excluded_count(), out.last()), (0, Some(&Action::CloseIdle { backend: id(0) })));
-    let back = &balancer.backends[&id(0)];
-    assert_eq!((back.started(), back.cap, back.ready(now, &balancer.settings)), (Some(now), Some(1.0), true));
+    balancer.handle(now, set_disabled(true), &mut actions);
+    balancer.handle(now, set_disabled(false), &mut actions);
+    assert_eq!((balancer.excluded_count(), actions.last()), (0, Some(&Action::CloseIdle { backend: id(0) })));
+    let enabled = &balancer.backends[&id(0)];
+    assert_eq!(
+        (enabled.started(), enabled.max_in_flight, enabled.is_ready(now, &balancer.settings)),
+        (Some(now), Some(1.0), true)
+    );
     for _ in 0..20 {
-        now = now + TICK;
-        balancer.handle(now, Event::TimerExpired(MARK_TICK), &mut out);
+        now = now + TICK_INTERVAL;
+        balancer.handle(now, Event::TimerExpired(TICK_TIMER), &mut actions);
     }
-    assert!(sent(&mut balancer, now, 50..100) > 0);
+    assert!(sent_to_first(&mut balancer, now, 50..100) > 0);
 }
 
 #[test]
-fn with_all_backends_barred_what_waits_is_refused_at_once() {
+fn with_all_backends_disabled_waiting_requests_are_refused_at_once() {
     let mut balancer = balancer(Effect::Safe, 1);
-    let mut out = Vec::new();
-    balancer.handle(START, Event::SetDisabled { backend: id(0), disabled: true }, &mut out);
-    balancer.handle(START, Event::RequestReceived(request(1)), &mut out);
-    assert!(matches!(out.last(), Some(Action::Refuse { .. })), "{out:?}");
+    let mut actions = Vec::new();
+    balancer.handle(START, Event::SetDisabled { backend: id(0), disabled: true }, &mut actions);
+    balancer.handle(START, Event::RequestReceived(request(1)), &mut actions);
+    assert!(matches!(actions.last(), Some(Action::Refuse { .. })), "{actions:?}");
 }
 
 #[test]
-fn a_request_that_is_not_whole_counts_nowhere_and_its_time_begins_with_its_last_byte() {
+fn an_incomplete_request_is_not_counted_and_its_time_starts_with_its_last_byte() {
     let mut balancer = balancer(Effect::AtMostOnce, 1);
-    let (mut out, later) = (Vec::new(), START + ms(3000));
-    balancer.handle(START, Event::RequestReceived(Request { complete: false, ..request(1) }), &mut out);
-    assert!(matches!(out.last(), Some(Action::Attempt { .. })), "{out:?}");
+    let (mut actions, later) = (Vec::new(), START + ms(3000));
+    balancer.handle(START, Event::RequestReceived(Request { complete: false, ..request(1) }), &mut actions);
+    assert!(matches!(actions.last(), Some(Action::Attempt { .. })), "{actions:?}");
     assert_eq!((balancer.backends[&id(0)].in_flight, balancer.tier.in_flight), (0.0, 0.0));
-    // Its own timer comes long before its last byte, and ends nothing.
-    out.clear();
-    balancer.handle(START + ms(250), Event::TimerExpired(TimerId(1)), &mut out);
-    assert_eq!(out, []);
+    // The request timer expires long before the last byte comes, and ends nothing.
+    actions.clear();
+    balancer.handle(START + ms(250), Event::TimerExpired(TimerId(1)), &mut actions);
+    assert_eq!(actions, []);
     balancer.handle(
         later,
         Event::RequestComplete { request: RequestId(1), deadline: later + ms(500) },
-        &mut out,
+        &mut actions,
     );
-    let more = |action: &Action| matches!(action, Action::SetTimeout { timeout, .. } if *timeout > ms(150));
-    assert!(out.iter().any(more), "{out:?}");
+    let extends =
+        |action: &Action| matches!(action, Action::SetTimeout { timeout, .. } if *timeout > ms(150));
+    assert!(actions.iter().any(extends), "{actions:?}");
     assert_eq!(balancer.tier.in_flight, 1.0);
     balancer.handle(
         later,
-        Event::AttemptEnded(AttemptEnd { answered: true, ..ended(Outcome::Served) }),
-        &mut out,
+        Event::AttemptEnded(AttemptEnd { answered: true, ..attempt_end(Outcome::Served) }),
+        &mut actions,
     );
     assert_eq!(balancer.tier.in_flight, 0.0);
 }
 
 #[test]
-fn what_ends_before_it_is_whole_leaves_no_trace_in_flight() {
-    for left in [true, false] {
+fn a_request_that_ends_incomplete_does_not_stay_counted_in_flight() {
+    for client_gone in [true, false] {
         let mut balancer = balancer(Effect::AtMostOnce, 1);
-        let mut out = Vec::new();
-        balancer.handle(START, Event::RequestReceived(Request { complete: false, ..request(1) }), &mut out);
-        if left {
-            balancer.handle(START, Event::ClientGone(RequestId(1)), &mut out);
+        let mut actions = Vec::new();
+        balancer.handle(
+            START,
+            Event::RequestReceived(Request { complete: false, ..request(1) }),
+            &mut actions,
+        );
+        if client_gone {
+            balancer.handle(START, Event::ClientGone(RequestId(1)), &mut actions);
         }
-        // Its bytes are gone: it is refused, and not sent again.
-        out.clear();
+        // Its body was discarded: it is refused, and not sent again.
+        actions.clear();
         balancer.handle(
             START,
-            Event::AttemptEnded(AttemptEnd { body_discarded: true, ..ended(Outcome::Withdrawn) }),
-            &mut out,
+            Event::AttemptEnded(AttemptEnd { body_discarded: true, ..attempt_end(Outcome::Withdrawn) }),
+            &mut actions,
         );
-        assert_eq!(out.iter().any(|action| matches!(action, Action::Refuse { .. })), !left, "{out:?}");
-        assert!(!out.iter().any(|action| matches!(action, Action::Attempt { .. })), "{out:?}");
+        assert_eq!(
+            actions.iter().any(|action| matches!(action, Action::Refuse { .. })),
+            !client_gone,
+            "{actions:?}"
+        );
+        assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })), "{actions:?}");
         assert_eq!((balancer.backends[&id(0)].in_flight, balancer.tier.in_flight), (0.0, 0.0));
     }
 }
 
 #[test]
-fn an_answer_that_breaks_off_counts_against_its_backend() {
+fn an_aborted_response_counts_against_its_backend() {
     let mut balancer = balancer(Effect::Safe, 2);
     balancer.handle(START, Event::ResponseAborted(id(0)), &mut Vec::new());
     assert!(
-        balancer.backends[&id(0)].burden(START, &balancer.tier, false, (PRIOR, WORD_FADE))
-            > balancer.backends[&id(1)].burden(START, &balancer.tier, false, (PRIOR, WORD_FADE))
+        balancer.backends[&id(0)].failure_weight(
+            START,
+            &balancer.tier,
+            false,
+            (PRIOR_ATTEMPTS, OBSERVATION_FADE_MS)
+        ) > balancer.backends[&id(1)].failure_weight(
+            START,
+            &balancer.tier,
+            false,
+            (PRIOR_ATTEMPTS, OBSERVATION_FADE_MS)
+        )
     );
 }
 
 #[test]
-fn what_may_have_run_goes_on_only_as_its_effect_and_the_settings_allow() {
+fn a_request_that_may_have_run_is_retried_only_as_its_effect_and_the_settings_allow() {
     use Outcome::*;
-    let never = [ConnectFailed, NotSent, Withdrawn];
+    let never_run = [ConnectFailed, NotSent, Withdrawn];
     let all = [Error, Full, TimedOut, ConnectFailed, Broken, Cancelled, NotSent, Withdrawn, Lost, Faulted];
-    for (outcome, proves_nothing) in all.into_iter().flat_map(|outcome| [(outcome, false), (outcome, true)]) {
-        let ran = !never.contains(&outcome) && (outcome != Full || proves_nothing);
+    for (outcome, full_may_have_run) in
+        all.into_iter().flat_map(|outcome| [(outcome, false), (outcome, true)])
+    {
+        let may_have_run = !never_run.contains(&outcome) && (outcome != Full || full_may_have_run);
         for effect in [Effect::Safe, by_pod(), Effect::AtMostOnce] {
             let mut balancer = balancer(effect, 4);
-            balancer.settings.full_may_have_run = proves_nothing;
-            assert_eq!(outcome.may_have_run(&balancer.settings), ran, "{outcome:?}");
-            balancer.desk.held.insert(RequestId(1), forwarded(effect));
-            let mut out = Vec::new();
-            balancer.handle(START + ms(1), Event::AttemptEnded(ended(outcome)), &mut out);
-            let to = out.iter().find_map(|action| match action {
+            balancer.settings.full_may_have_run = full_may_have_run;
+            assert_eq!(outcome.may_have_run(&balancer.settings), may_have_run, "{outcome:?}");
+            balancer.queue.pending.insert(RequestId(1), running(effect));
+            let mut actions = Vec::new();
+            balancer.handle(START + ms(1), Event::AttemptEnded(attempt_end(outcome)), &mut actions);
+            let sent_to = actions.iter().find_map(|action| match action {
                 Action::Attempt { backend, .. } => Some(*backend),
                 _ => None,
             });
-            // The pod of backend 0 holds backend 1 as well.
-            let inside = to.is_none_or(|to| [id(0), id(1)].contains(&to));
-            let turned = out.iter().any(|action| matches!(action, Action::Refuse { .. }));
-            let case = format!("{outcome:?} {effect:?} {proves_nothing}: {out:?}");
+            // Backend 1 is in the pod of backend 0.
+            let in_pod = sent_to.is_none_or(|to| [id(0), id(1)].contains(&to));
+            let refused = actions.iter().any(|action| matches!(action, Action::Refuse { .. }));
+            let case = format!("{outcome:?} {effect:?} {full_may_have_run}: {actions:?}");
             match effect {
-                Effect::AtMostOnce if ran => assert!(to.is_none() && !turned, "{case}"),
-                Effect::Keyed { .. } if ran => assert!(inside && !turned, "{case}"),
-                _ => assert!(to.is_some() || turned, "{case}"),
+                Effect::AtMostOnce if may_have_run => assert!(sent_to.is_none() && !refused, "{case}"),
+                Effect::Keyed { .. } if may_have_run => assert!(in_pod && !refused, "{case}"),
+                _ => assert!(sent_to.is_some() || refused, "{case}"),
             }
         }
     }
 }
 
-/// Guards against a limit of whole calls that can't bind where an instance's even part is less than one.
+/// Guards against a limit in whole attempts that never applies because an instance's even part of it is less
+/// than one.
 #[test]
-fn where_instances_outnumber_backends_what_these_report_turns_requests_back() {
-    let taken = |held: f64, instances: usize| {
+fn where_instances_outnumber_backends_reported_load_refuses_requests() {
+    let is_accepted = |in_flight: f64, instances: usize| {
         let mut b = balancer(Effect::Safe, 4);
         b.settings.instances = instances;
-        b.backends.values_mut().for_each(|b| b.others = Some((START, held)));
-        let mut out = Vec::new();
-        b.handle(START, Event::TimerExpired(MARK_TICK), &mut out);
-        b.handle(START, Event::RequestReceived(request(1)), &mut out);
-        !out.iter().any(|action| matches!(action, Action::Refuse { .. }))
+        b.backends.values_mut().for_each(|b| b.reported_others = Some((START, in_flight)));
+        let mut actions = Vec::new();
+        b.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
+        b.handle(START, Event::RequestReceived(request(1)), &mut actions);
+        !actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
     };
-    assert!(taken(30.0, 1) && taken(1.0, 40));
-    assert!(!taken(30.0, 40));
+    assert!(is_accepted(30.0, 1) && is_accepted(1.0, 40));
+    assert!(!is_accepted(30.0, 40));
 }
 
 #[test]
-fn an_old_report_counts_for_little_in_the_mean_of_all() {
+fn an_old_load_report_has_little_weight_in_the_mean() {
     let mut b = balancer(Effect::Safe, 2);
-    b.backends.get_mut(&id(0)).unwrap().others = Some((START, 40.0));
+    b.backends.get_mut(&id(0)).unwrap().reported_others = Some((START, 40.0));
     let now = START + ms(20_000);
-    b.backends.get_mut(&id(1)).unwrap().others = Some((now, 2.0));
-    let TierNote::Tick { others, .. } = census(b.backends.values(), now) else { panic!() };
-    assert!(others < 2.0, "{others}");
+    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((now, 2.0));
+    let TierMessage::Tick { mean_others, .. } = summarize_backends(b.backends.values(), now) else {
+        panic!()
+    };
+    assert!(mean_others < 2.0, "{mean_others}");
 }
 
-/// Two instances of many; the first saw backend 0 fail and hold much, and tells the other.
+/// One of many instances observed backend 0 fail and sends this to another.
 #[test]
-fn what_a_peer_saw_turns_picks_away_until_it_is_old() {
+fn a_peers_observation_keeps_requests_away_until_it_is_old() {
     let mut b = balancer(Effect::Safe, 2);
-    (b.settings.peer_messages, b.settings.instances, b.tier.crowd) = (true, 8, 4.0);
-    b.desk.held.insert(RequestId(1), held(Effect::Safe));
-    let word = |age| Observation { backend: id(0), age, in_flight: Some(0.0), failure_ratio: 1.0 };
-    let bytes = encode(&Default::default(), [word(ms(100)), word(ms(4000))].into_iter());
+    (b.settings.peer_messages, b.settings.instances, b.tier.instances_per_backend) = (true, 8, 4.0);
+    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    let observation = |age| Observation { backend: id(0), age, in_flight: Some(0.0), failure_ratio: 1.0 };
+    let bytes = encode(&Default::default(), [observation(ms(100)), observation(ms(4000))].into_iter());
     b.handle(START + ms(5000), Event::PeerMessage { from: PeerId(3), bytes }, &mut Vec::new());
-    assert!((0..20).all(|_| first_pick(&mut b) == Some(id(1))));
+    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
     b.now = START + ms(60_000);
-    assert!((0..60).any(|_| first_pick(&mut b) == Some(id(0))));
+    assert!((0..60).any(|_| choose(&mut b) == Some(id(0))));
 }
 
 #[test]
-fn an_instance_tells_one_other_what_it_saw_and_only_where_peers_may() {
-    for (peers, instances, told) in [(true, 5, 1), (true, 1, 0), (false, 5, 0)] {
+fn an_instance_sends_observations_to_one_other_and_only_if_peer_messages_are_allowed() {
+    for (peer_messages, instances, message_count) in [(true, 5, 1), (true, 1, 0), (false, 5, 0)] {
         let mut b = balancer(Effect::Safe, 2);
-        (b.settings.peer_messages, b.settings.instances, b.settings.ordinal) = (peers, instances, 3);
-        b.backends.get_mut(&id(1)).unwrap().others = Some((START, 2.0));
-        b.desk.keys.add(7);
-        let mut out = Vec::new();
-        b.handle(START, Event::TimerExpired(MARK_TICK), &mut out);
-        assert!(!out.iter().any(|action| matches!(action, Action::SendToPeer { .. })), "nothing was taken");
-        b.desk.met = true;
-        b.handle(START, Event::TimerExpired(MARK_TICK), &mut out);
-        let tells: Vec<_> = out
+        (b.settings.peer_messages, b.settings.instances, b.settings.ordinal) = (peer_messages, instances, 3);
+        b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START, 2.0));
+        b.queue.keys.add(7);
+        let mut actions = Vec::new();
+        b.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
+        assert!(
+            !actions.iter().any(|action| matches!(action, Action::SendToPeer { .. })),
+            "no request was received"
+        );
+        b.queue.received_since_message = true;
+        b.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
+        let messages: Vec<_> = actions
             .iter()
             .filter_map(|action| match action {
                 Action::SendToPeer { to, bytes } => {
@@ -897,7 +966,9 @@
                 _ => None,
             })
             .collect();
-        assert_eq!(tells.len(), told);
-        assert!(tells.iter().all(|(to, keys, words)| to.0 != 3 && to.0 < 5 && (*keys, *words) == (1, 1)));
+        assert_eq!(messages.len(), message_count);
+        assert!(messages
+            .iter()
+            .all(|(to, keys, observations)| to.0 != 3 && to.0 < 5 && (*keys, *observations) == (1, 1)));
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the decisions read, decoded once when an instance starts.
+//! The settings that the decision module reads, decoded once when an instance starts.
 
 use crate::id::ZoneId;
 use crate::time::{Span, Time};
@@ -9,43 +9,48 @@
     pub tier: usize,
     /// Instances of this tier, this one included.
     pub instances: usize,
-    /// This one's number among them, from 0.
+    /// This instance's number among them, from 0.
     pub ordinal: usize,
     pub zone: ZoneId,
-    /// Crossing zones has a price.
+    /// Whether sending to another zone has a price.
     pub cross_zone_priced: bool,
-    /// Where answers report what a backend holds: the price of a check that asks for such a report, for each
-    /// request; `None` where there are none.
+    /// Where responses report a backend's load: the price, for each request, of a check that fetches such a
+    /// report; `None` where there are no reports.
     pub report_price: Option<f64>,
     /// The shortest time between two batches of events.
     pub batch_interval: Span,
     pub classes: Vec<Class>,
-    /// Requests a second that each tenant may ask of all instances together.
+    /// Requests per second that each tenant may send to all instances together.
     pub tenant_quotas: Vec<f64>,
-    /// What a request beyond its tenant's share is worth, as a part of its value.
+    /// What a request over its tenant's quota is worth, as a part of its value.
     pub over_quota_value: f64,
-    /// The list must be asked for.
+    /// Whether the list has to be fetched; otherwise it is pushed.
     pub list_on_request: bool,
     pub max_attempts: u16,
-    /// Backends say that they are full of work that they had begun, too.
+    /// Whether backends also say that they are full for work that they had begun.
     pub full_may_have_run: bool,
-    /// A backend that is gone, or left out, and was never listed as draining, may still be sent to.
+    /// Whether a backend that is gone or missing from the list may still be sent to, as long as it was never
+    /// listed as draining.
     pub only_draining_excludes: bool,
+    /// Whether running attempts may be cancelled.
     pub cancellation: bool,
-    /// A backend that has met a request's key of late needs less work for it.
+    /// Whether a backend that has recently seen a request's key needs less work for the request.
     pub key_affinity: bool,
-    /// Instances may tell each other things.
+    /// Whether instances may send each other messages.
     pub peer_messages: bool,
     /// The longest backoff that clients heed; `None` where they are not told any.
     pub max_backoff: Option<Span>,
     pub slow_start: SlowStart,
 }
 
-/// What a backend that has just started can bear.
+/// The load that a backend can bear after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
+    /// The part of its full capacity that it has at its start.
     pub initial_share: f64,
+    /// The time until it has its full capacity.
     pub ramp: Span,
+    /// More than this multiple of its present capacity, over `overload_window`, overloads it.
     pub overload_ratio: f64,
     pub overload_window: Span,
 }
@@ -57,7 +62,7 @@
     pub target_stretch: f64,
     pub deadline: Span,
     pub value: f64,
-    /// What an answer after the target still earns, as a part of the value.
+    /// What a response after the target still earns, as a part of the value.
     pub late_value: f64,
     pub effect: Effect,
 }
@@ -78,7 +83,7 @@
 }
 
 impl SlowStart {
-    /// The part of its full capacity that a backend surely has at `now`; 1 once it is warm.
+    /// The part of its full capacity that a backend has at least at `now`; 1 once it is warm.
     pub fn capacity_ratio(&self, started: Option<Time>, now: Time) -> f64 {
         let age = started.map_or(f64::INFINITY, |started| now.since(started).ms());
         (self.initial_share + (1.0 - self.initial_share) * age / self.ramp.ms().max(1.0)).min(1.0)
@@ -92,16 +97,24 @@
 }
 
 impl Settings {
-    /// When an answer to what came whole `now` is late, and when the final answer is given.
-    pub fn times(&self, class: &Class, now: Time, deadline: Time, cost: Option<Span>) -> (Time, Time) {
-        // Room for the time between two batches, and for the answer's way back.
+    /// For a request that is complete `now`: the time after which a response is late, and the time by which
+    /// the final response is given.
+    pub fn response_times(
+        &self,
+        class: &Class,
+        now: Time,
+        deadline: Time,
+        cost: Option<Span>,
+    ) -> (Time, Time) {
+        // Leaves room for the time between two batches and for the response's way back.
         let margin = self.batch_interval.scaled(2.0) + Span::from_millis(2);
-        let (last, stretch) = (deadline - margin, cost.unwrap_or_default().scaled(class.target_stretch));
-        let target = last.min(now + class.deadline.min(class.target + stretch) - margin);
-        (target, if class.late_value > 0.0 { last } else { target })
+        let (latest, stretch) = (deadline - margin, cost.unwrap_or_default().scaled(class.target_stretch));
+        let target = latest.min(now + class.deadline.min(class.target + stretch) - margin);
+        (target, if class.late_value > 0.0 { latest } else { target })
     }
 
-    /// One instance in one zone, told of every change of the list, with no tenants.
+    /// Settings of a single instance in one zone that is told of every change of the list and knows no
+    /// tenants.
     pub fn for_classes(classes: Vec<Class>) -> Settings {
         Settings {
             tier: 0,
