--- a/src/state.rs
+++ b/src/state.rs
@@ -1,333 +1,372 @@
-//! What an instance remembers: its records, and plain measures over them. They decide nothing.
+//! The records that an instance keeps of backends, of the tier and of requests, with statistics over them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::event::{BackendNote, Condition, Event, Listing, Load, TierNote};
+use crate::event::{BackendMessage, Condition, Event, Listing, Load, TierMessage};
 use crate::id::{BackendId, RequestId, TenantId, ZoneId};
 use crate::peer_message::{Observation, MAX_OBSERVATION_AGE};
 use crate::settings::{Class, Effect, Settings};
-use crate::stats::{Keys, Mean, Tally, Trend, Window};
+use crate::stats::{Correlation, FailureTally, KeyFrequencies, Mean, SampleWindow};
 use crate::time::Time;
 
-/// The one record of a backend.
+/// The state of a backend.
 #[derive(Default)]
 pub struct Backend {
-    pub inbox: Vec<BackendNote>,
+    pub inbox: Vec<BackendMessage>,
     pub listing: Listing,
-    /// When staff let it serve again; it may have restarted meanwhile.
-    pub back: Option<Time>,
-    /// While out it gets nothing until then, and after that one trial attempt at a time.
-    pub out: Option<Time>,
-    /// How often it was put out, or stayed out, in a row.
-    pub outs: u32,
-    pub strikes: f64,
-    /// Own attempts and checks that failed, of late.
-    pub tally: Tally,
+    /// When operators enabled it again; it may have restarted while it was disabled.
+    pub enabled_at: Option<Time>,
+    /// An ejected backend gets no attempts until this time, and after it one trial attempt at a time.
+    pub ejected_until: Option<Time>,
+    /// How often it was ejected, or stayed ejected, in a row.
+    pub ejections: u32,
+    pub failure_score: f64,
+    /// Recent attempts and checks of this instance, and how many of them failed.
+    pub failures: FailureTally,
     pub in_flight: f64,
-    /// What of it the tier's sum holds.
-    pub counted: f64,
-    /// Until when it may still work on attempts that were given up.
-    pub ghosts: Vec<Time>,
-    /// Most attempts in flight while it is fresh; grows with its answers.
-    pub cap: Option<f64>,
+    /// The part of the tier's `in_flight` that stands for this backend.
+    pub counted_in_flight: f64,
+    /// Until when it may still work on each attempt that was given up.
+    pub abandoned_attempts: Vec<Time>,
+    /// The most attempts in flight after a start or an ejection; grows with its responses.
+    pub max_in_flight: Option<f64>,
     pub full_until: Time,
-    /// Attempts that a cold backend may still be sent.
-    pub credit: f64,
-    /// Answer time in ms.
-    pub took: Mean,
-    /// When it last answered, or was sent its first attempt while idle.
-    pub heard: Time,
-    /// What it last said it holds for others, and when.
-    pub others: Option<(Time, f64)>,
-    /// When it was last judged, by this instance or another that told of it, and what part failed by then.
-    pub word: Option<(Time, f64)>,
+    /// How many attempts may still be sent to it during its slow start.
+    pub slow_start_credit: f64,
+    /// Smoothed response time in ms.
+    pub response_ms: Mean,
+    /// When it last responded, or was sent the first attempt while idle.
+    pub last_response: Time,
+    /// How many requests of other instances it last reported in flight, and when.
+    pub reported_others: Option<(Time, f64)>,
+    /// The failed part of its attempts at the last observation, by this instance or by a peer, and when that
+    /// was.
+    pub observed_failures: Option<(Time, f64)>,
 }
 
 impl Backend {
-    /// The latest that its process may have started.
+    /// The latest time at which its process may have started.
     pub fn started(&self) -> Option<Time> {
-        self.listing.started.max(self.back)
+        self.listing.started.max(self.enabled_at)
     }
 
-    pub fn holds(&self) -> f64 {
-        self.in_flight + self.ghosts.len() as f64
+    /// Attempts in flight, with those given up that may still run.
+    pub fn occupancy(&self) -> f64 {
+        self.in_flight + self.abandoned_attempts.len() as f64
     }
 
-    /// How many times as long as its peers it takes; small differences do not count, and its size counts by
-    /// its root: what it waits for elsewhere takes no longer on a small machine.
-    pub fn pace(&self, tier: &Tier) -> f64 {
-        let size = self.listing.size / if tier.size > 0.0 { tier.size } else { self.listing.size };
-        (self.took.or(tier.took.or(0.0)) / tier.took.or(0.0).max(1.0) / 1.2).clamp(1.0, 8.0) / size.sqrt()
+    /// Its response time as a multiple of its peers'. Small differences don't count. Its size counts by its
+    /// square root, because what it waits for elsewhere takes no longer on a small machine.
+    pub fn relative_response_time(&self, tier: &Tier) -> f64 {
+        let size = self.listing.size / if tier.mean_size > 0.0 { tier.mean_size } else { self.listing.size };
+        (self.response_ms.or(tier.response_ms.or(0.0)) / tier.response_ms.or(0.0).max(1.0) / 1.2)
+            .clamp(1.0, 8.0)
+            / size.sqrt()
     }
 
-    /// Guards against a backend that fails, or a zone, being learnt of anew by each of many instances that
-    /// send it little: what fails more than the tier weighs more in the pick from the first failure on.
-    pub fn burden(&self, now: Time, tier: &Tier, peers: bool, (prior, fade): (f64, f64)) -> f64 {
-        let like = if peers { self.word(now, tier, prior, fade) } else { self.like(tier, prior) };
-        let failing = self.tally.share(like, prior);
-        ((1.0 - tier.failing) / (1.0 - failing).max(0.1)).max(1.0).powi(2)
+    /// Raises the load of a backend that fails more than the tier, from its first failure on. Otherwise many
+    /// instances that each send it little would each have to learn anew that a backend or a zone fails.
+    pub fn failure_weight(
+        &self,
+        now: Time,
+        tier: &Tier,
+        peer_messages: bool,
+        (prior_attempts, fade_ms): (f64, f64),
+    ) -> f64 {
+        let prior = if peer_messages {
+            self.observed_failure_ratio(now, tier, prior_attempts, fade_ms)
+        } else {
+            self.zone_failure_ratio(tier, prior_attempts)
+        };
+        let failure_ratio = self.failures.ratio(prior, prior_attempts);
+        ((1.0 - tier.failure_ratio) / (1.0 - failure_ratio).max(0.1)).max(1.0).powi(2)
     }
 
-    /// What it says that it holds, without this instance's attempts.
-    pub fn report(&mut self, load: Load, now: Time) {
-        let said = load.in_flight.or(load.queued).map(|held| (now, (held - self.in_flight).max(0.0)));
-        self.others = said.or(self.others);
+    /// Records what it reports in flight, without this instance's attempts.
+    pub fn record_load_report(&mut self, load: Load, now: Time) {
+        let reported = load.in_flight.or(load.queued).map(|count| (now, (count - self.in_flight).max(0.0)));
+        self.reported_others = reported.or(self.reported_others);
     }
 
-    /// The part of attempts that fail in its zone.
-    fn like(&self, tier: &Tier, prior: f64) -> f64 {
-        let zone = tier.zones.get(&self.listing.zone).copied().unwrap_or_default();
-        zone.share(tier.failing, prior)
+    /// The failed part of the attempts in its zone.
+    fn zone_failure_ratio(&self, tier: &Tier, prior_attempts: f64) -> f64 {
+        let zone = tier.zone_failures.get(&self.listing.zone).copied().unwrap_or_default();
+        zone.ratio(tier.failure_ratio, prior_attempts)
     }
 
-    /// The part of its attempts that fail, as others saw it, and with time as its zone does.
-    pub fn word(&self, now: Time, tier: &Tier, prior: f64, fade: f64) -> f64 {
-        let like = self.like(tier, prior);
-        // What has faded to a trace is forgotten, so that it decides no pick between equals.
-        let word =
-            self.word.map(|(at, word)| (now.since(at).ms() / fade, word)).filter(|(age, _)| *age < 4.0);
-        word.map_or(like, |(age, word)| like + (word - like) * (-age).exp())
+    /// The failed part of its attempts at the last observation, which fades towards that of its zone.
+    pub fn observed_failure_ratio(&self, now: Time, tier: &Tier, prior_attempts: f64, fade_ms: f64) -> f64 {
+        let zone_ratio = self.zone_failure_ratio(tier, prior_attempts);
+        // An observation that has faded almost entirely is dropped, so that it doesn't decide between equal
+        // backends.
+        let observed = self
+            .observed_failures
+            .map(|(at, ratio)| (now.since(at).ms() / fade_ms, ratio))
+            .filter(|(age, _)| *age < 4.0);
+        observed.map_or(zone_ratio, |(age, ratio)| zone_ratio + (ratio - zone_ratio) * (-age).exp())
     }
 
-    /// Takes another instance's word where it is newer than what is known.
-    pub fn hear(&mut self, word: Observation, now: Time) {
-        let at = now - word.age;
-        let newer = |known: Option<(Time, f64)>| known.is_none_or(|(known, _)| known < at);
-        self.word = if newer(self.word) { Some((at, word.failure_ratio)) } else { self.word };
-        let held = word.in_flight.filter(|_| newer(self.others)).map(|held| (at, held));
-        self.others = held.or(self.others);
+    /// Takes over another instance's observation where it is newer than what is known.
+    pub fn merge_observation(&mut self, observation: Observation, now: Time) {
+        let at = now - observation.age;
+        let is_newer = |known: Option<(Time, f64)>| known.is_none_or(|(known, _)| known < at);
+        self.observed_failures = if is_newer(self.observed_failures) {
+            Some((at, observation.failure_ratio))
+        } else {
+            self.observed_failures
+        };
+        let reported =
+            observation.in_flight.filter(|_| is_newer(self.reported_others)).map(|count| (at, count));
+        self.reported_others = reported.or(self.reported_others);
     }
 
-    /// What there is to tell others of it, unless it is old.
-    pub fn tells(&self, now: Time) -> Option<Observation> {
-        let seen = self.others.map(|(at, _)| at).max(self.word.map(|(at, _)| at))?;
-        let (age, held) = (now.since(seen), self.others.map(|(_, held)| held));
-        let word = Observation {
+    /// The observation of it to send to other instances, unless it is old.
+    pub fn observation(&self, now: Time) -> Option<Observation> {
+        let observed_at =
+            self.reported_others.map(|(at, _)| at).max(self.observed_failures.map(|(at, _)| at))?;
+        let (age, in_flight) = (now.since(observed_at), self.reported_others.map(|(_, count)| count));
+        let observation = Observation {
             backend: self.listing.backend,
             age,
-            in_flight: held,
-            failure_ratio: self.word.map_or(0.0, |(_, f)| f),
+            in_flight,
+            failure_ratio: self.observed_failures.map_or(0.0, |(_, ratio)| ratio),
         };
-        (age < MAX_OBSERVATION_AGE).then_some(word)
+        (age < MAX_OBSERVATION_AGE).then_some(observation)
     }
 
-    /// What others have in flight here: its report, which fades towards the mean of all reports with age.
-    pub fn others(&self, now: Time, mean: f64, fade: f64) -> f64 {
-        self.others.map_or(mean, |(at, said)| mean + (said - mean) * (-now.since(at).ms() / fade).exp())
+    /// What others have in flight here: the backend's report, which fades with age towards the mean of all
+    /// reports.
+    pub fn others_in_flight(&self, now: Time, mean: f64, fade_ms: f64) -> f64 {
+        self.reported_others
+            .map_or(mean, |(at, count)| mean + (count - mean) * (-now.since(at).ms() / fade_ms).exp())
     }
 }
 
-/// The Vegas limit of the tier, and what else is known of the tier as a whole.
+/// The Vegas limit of the tier, and the statistics of the tier as a whole.
 #[derive(Default)]
 pub struct Tier {
     pub limit: f64,
     /// Instances for each ready backend.
-    pub crowd: f64,
-    /// At backends that are not out, with what was given up and may still run.
+    pub instances_per_backend: f64,
+    /// Attempts at backends that are not ejected, with those given up that may still run.
     pub in_flight: f64,
-    /// Mean of what the reports say that others hold at a backend.
-    pub others: f64,
-    /// Half of the reports say less.
-    pub middle: f64,
-    /// Mean size of the ready backends.
-    pub size: f64,
-    pub ready_and_out: (f64, f64),
-    /// Smoothed, in ms.
+    /// The mean of what backends report in flight for others.
+    pub mean_others: f64,
+    /// The median of what backends report in flight for others.
+    pub median_others: f64,
+    /// The mean size of the ready backends.
+    pub mean_size: f64,
+    /// How many backends are ready, and how many of them are ejected.
+    pub ready_and_ejected: (f64, f64),
+    /// Smoothed 90th percentile of all latency samples in ms.
     pub p90: Mean,
-    /// The same of answers alone.
-    pub answered: Mean,
-    /// The latency that the limit goes by: one of the two.
+    /// The same of responses alone.
+    pub response_p90: Mean,
+    /// The one of the two that the limit goes by.
     pub latency: Mean,
-    /// What it is without a queue.
+    /// The latency without a queue.
     pub baseline: Mean,
-    pub samples: Window,
-    /// In flight and answers of the last update intervals.
-    pub intervals: Trend,
-    pub answers: f64,
-    /// Own answers a second for each ready backend.
-    pub rate: f64,
-    /// Answer time in ms.
-    pub took: Mean,
-    /// Part of the samples that were not in time.
-    pub late: Mean,
-    /// Part of the attempts that fail.
-    pub failing: f64,
-    /// What failed of late in each zone.
-    pub zones: BTreeMap<ZoneId, Tally>,
+    pub latency_samples: SampleWindow,
+    /// Attempts in flight and responses of the latest update intervals.
+    pub intervals: Correlation,
+    /// Responses in time since the last update.
+    pub responses: f64,
+    /// Responses per second to this instance for each ready backend.
+    pub rate_per_backend: f64,
+    /// Smoothed response time in ms.
+    pub response_ms: Mean,
+    /// The part of the samples that were not in time.
+    pub late_ratio: Mean,
+    /// The part of the attempts that fail.
+    pub failure_ratio: f64,
+    /// Recent failures in each zone.
+    pub zone_failures: BTreeMap<ZoneId, FailureTally>,
 }
 
 impl Tier {
-    /// The design's queueUse at this latency.
-    pub fn queued(&self, latency: Mean) -> f64 {
+    /// The estimated number of queued requests at this latency, the design's queueUse.
+    pub fn queue_size(&self, latency: Mean) -> f64 {
         self.limit * (1.0 - self.baseline.or(latency.or(0.0)) / latency.or(0.0).max(0.001))
     }
 }
 
-/// A request that was taken and not yet answered.
+/// A request that was received and has no response yet.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct PendingRequest {
     pub class: Class,
     pub arrived: Time,
-    /// An answer after this is late.
+    /// A response after this is late.
     pub target: Time,
-    /// The final answer is given by then.
-    pub due: Time,
-    pub beyond_share: bool,
-    /// All of it has come; before that nothing runs, and an attempt counts nowhere.
-    pub whole: bool,
-    pub sent: u16,
-    /// Where the attempt that is out may be running, and since when.
-    pub out: Option<(Listing, Time)>,
-    /// The first attempt that may have run.
-    pub ran: Option<(Listing, Time)>,
-    /// What it is about, where backends remember that.
+    /// The final response is given by then.
+    pub respond_by: Time,
+    pub over_quota: bool,
+    /// Its last byte has come; before that nothing runs, and an attempt counts nowhere.
+    pub complete: bool,
+    pub attempts: u16,
+    /// Where the running attempt was sent, and when.
+    pub running: Option<(Listing, Time)>,
+    /// Where the first attempt that may have run was sent, and when.
+    pub first_run: Option<(Listing, Time)>,
+    /// Its key, where backends remember keys.
     pub key: Option<u64>,
     /// Where its last attempt ended.
-    pub last: Option<BackendId>,
-    /// The two that were asked for a report, since when, and until when at most.
-    pub asked: Option<([BackendId; 2], Time, Time)>,
+    pub last_backend: Option<BackendId>,
+    /// The two backends that were asked for a load report, when, and until when their reports are awaited.
+    pub awaited_reports: Option<([BackendId; 2], Time, Time)>,
 }
 
-/// The desk that holds the requests.
+/// The pending requests, and which of them wait to be sent.
 #[derive(Default)]
-pub struct Desk {
+pub struct RequestQueue {
     pub inbox: VecDeque<Event>,
-    pub held: BTreeMap<RequestId, Held>,
-    /// The line of first attempts.
-    pub first: Vec<RequestId>,
-    /// The line of further attempts.
-    pub further: Vec<RequestId>,
-    /// What waits for the reports of the two backends drawn for it.
-    pub asking: Vec<RequestId>,
+    pub pending: BTreeMap<RequestId, PendingRequest>,
+    /// Requests that wait for their first attempt.
+    pub first_attempts: Vec<RequestId>,
+    /// Requests that wait for a further attempt.
+    pub retries: Vec<RequestId>,
+    /// Requests that wait for load reports of the two backends sampled for them.
+    pub awaiting_reports: Vec<RequestId>,
     pub retry_budget: f64,
-    /// What each tenant may still send within its share.
-    pub shares: Vec<f64>,
-    /// A request was taken since the last update.
-    pub met: bool,
-    /// Which keys are asked for of late.
-    pub keys: Keys,
+    /// How many requests each tenant may still send within its quota.
+    pub remaining_quotas: Vec<f64>,
+    /// Whether a request was received since the last peer message.
+    pub received_since_message: bool,
+    /// Which keys were requested recently.
+    pub keys: KeyFrequencies,
     pub mode: &'static str,
 }
 
-impl Held {
-    pub fn new(class: Class, arrived: Time, target: Time, due: Time, beyond_share: bool) -> Held {
-        Held {
+impl PendingRequest {
+    pub fn new(
+        class: Class,
+        arrived: Time,
+        target: Time,
+        respond_by: Time,
+        over_quota: bool,
+    ) -> PendingRequest {
+        PendingRequest {
             class,
             arrived,
             target,
-            due,
-            beyond_share,
-            whole: true,
-            sent: 0,
-            out: None,
-            ran: None,
+            respond_by,
+            over_quota,
+            complete: true,
+            attempts: 0,
+            running: None,
+            first_run: None,
             key: None,
-            last: None,
-            asked: None,
+            last_backend: None,
+            awaited_reports: None,
         }
     }
 }
 
-impl Held {
-    /// Until when its repeats are dropped, if it may have run and they are.
-    pub fn repeats_until(&self) -> Option<Time> {
-        match (self.class.effect, self.ran) {
+impl PendingRequest {
+    /// Until when its repeats are dropped, if it may have run and its class has them dropped.
+    pub fn repeats_dropped_until(&self) -> Option<Time> {
+        match (self.class.effect, self.first_run) {
             (Effect::Keyed { window, .. }, Some((_, since))) => Some(since + window),
             _ => None,
         }
     }
 }
 
-impl Desk {
-    /// With a retry budget, and shares of what tenants may ask: those of the first tier's clients; below it they have been
-    /// dealt with.
-    pub fn new(settings: &Settings, retry_budget: f64) -> Desk {
-        let own = settings.tenant_quotas.iter().filter(|_| settings.tier == 0);
-        let shares = own.map(|allowance| allowance / settings.instances as f64).collect();
-        Desk { retry_budget, shares, mode: "ordinary", ..Desk::default() }
+impl RequestQueue {
+    /// Starts with this retry budget. Only the first tier applies tenants' quotas; below it they have been
+    /// applied already.
+    pub fn new(settings: &Settings, retry_budget: f64) -> RequestQueue {
+        let quotas = settings.tenant_quotas.iter().filter(|_| settings.tier == 0);
+        let remaining_quotas = quotas.map(|quota| quota / settings.instances as f64).collect();
+        RequestQueue { retry_budget, remaining_quotas, mode: "ordinary", ..RequestQueue::default() }
     }
 
-    pub fn waiting(&self) -> f64 {
-        (self.first.len() + self.further.len() + self.asking.len()) as f64
+    /// How many requests wait to be sent.
+    pub fn waiting_count(&self) -> f64 {
+        (self.first_attempts.len() + self.retries.len() + self.awaiting_reports.len()) as f64
     }
 
-    /// Gives each tenant its part of what it may ask of one instance in an update interval.
-    pub fn refill(&mut self, settings: &Settings, ticks_per_s: f64) {
-        for (share, allowance) in self.shares.iter_mut().zip(&settings.tenant_quotas) {
-            let own = allowance / settings.instances as f64;
-            *share = (share.max(0.0) + own / ticks_per_s).min(own);
+    /// Adds to each tenant's remaining quota this instance's part of it for one update interval.
+    pub fn refill_quotas(&mut self, settings: &Settings, ticks_per_s: f64) {
+        for (remaining, quota) in self.remaining_quotas.iter_mut().zip(&settings.tenant_quotas) {
+            let instance_quota = quota / settings.instances as f64;
+            *remaining = (remaining.max(0.0) + instance_quota / ticks_per_s).min(instance_quota);
         }
     }
 
-    /// Counts a request against its tenant's share; whether it lies beyond it.
-    pub fn goes_beyond(&mut self, tenant: TenantId) -> bool {
-        let share = self.shares.get_mut(tenant.0 as usize);
-        let beyond = share.map(|share| {
-            *share -= 1.0;
-            *share < 0.0
+    /// Charges a request to its tenant's quota. Returns whether it exceeds the quota.
+    pub fn charge_quota(&mut self, tenant: TenantId) -> bool {
+        let remaining = self.remaining_quotas.get_mut(tenant.0 as usize);
+        let over_quota = remaining.map(|remaining| {
+            *remaining -= 1.0;
+            *remaining < 0.0
         });
-        // Guards against a flood that escapes its share under a name that nobody has.
-        beyond.unwrap_or(!self.shares.is_empty())
+        // Where there are quotas, an unknown tenant has none: a flood must not escape its quota under a
+        // made-up name.
+        over_quota.unwrap_or(!self.remaining_quotas.is_empty())
     }
 
-    /// A line for the log, where it is another state than before.
-    pub fn tell_mode(&mut self, load: f64, band: f64, tier: &Tier) -> Option<String> {
-        let mode = match self.first.len() {
+    /// Updates the mode. Returns a line for the log if it changed.
+    pub fn update_mode(&mut self, load_ratio: f64, refusal_ratio: f64, tier: &Tier) -> Option<String> {
+        let mode = match self.first_attempts.len() {
             0 => "ordinary",
-            _ if load <= band => "waiting",
+            _ if load_ratio <= refusal_ratio => "waiting",
             _ => "refusing",
         };
-        let [p90, base] = [tier.latency, tier.baseline].map(|mean| mean.or(0.0));
-        let text = format!("{mode}: limit {:.1}, load {load:.2}, p90 {p90:.0}/{base:.0}", tier.limit);
+        let [p90, baseline] = [tier.latency, tier.baseline].map(|mean| mean.or(0.0));
+        let text =
+            format!("{mode}: limit {:.1}, load {load_ratio:.2}, p90 {p90:.0}/{baseline:.0}", tier.limit);
         (std::mem::replace(&mut self.mode, mode) != mode).then_some(text)
     }
 
-    pub fn leave_lines(&mut self, id: RequestId) {
-        for line in [&mut self.first, &mut self.further, &mut self.asking] {
-            line.retain(|waiting| *waiting != id);
+    /// Removes a request from those that wait to be sent.
+    pub fn remove_waiting(&mut self, id: RequestId) {
+        for list in [&mut self.first_attempts, &mut self.retries, &mut self.awaiting_reports] {
+            list.retain(|waiting| *waiting != id);
         }
     }
 }
 
-const SAID_FADE: f64 = 2000.0; // ms in which a report counts less in the mean of all
-const SAID_LEAST: f64 = 0.1; // reports that say that nothing is held, so that no report is none
+/// The time in which a report's weight in the mean of all falls to 1/e.
+const REPORT_FADE_MS: f64 = 2000.0;
+/// The weight of a report of 0 that is always included, so that the total weight is never 0.
+const ZERO_REPORT_WEIGHT: f64 = 0.1;
 
-/// What the tier is told of all backends at each update.
-pub fn census<'a>(all: impl Iterator<Item = &'a Backend> + Clone, now: Time) -> TierNote {
+/// Summarizes all backends for the tier at each update.
+pub fn summarize_backends<'a>(all: impl Iterator<Item = &'a Backend> + Clone, now: Time) -> TierMessage {
     let listed = all.filter(|b| b.listing.condition == Condition::Ready);
-    // What was said long ago tells little of how much is held now.
-    let weighed = |(at, others): (Time, f64)| ((-now.since(at).ms() / SAID_FADE).exp(), others);
-    let mut said: Vec<_> = listed.clone().filter_map(|b| b.others).map(weighed).collect();
-    let weights = said.iter().map(|(weight, _)| weight).sum::<f64>() + SAID_LEAST;
-    let others = said.iter().map(|(weight, others)| weight * others).sum::<f64>() / weights;
-    said.sort_by(|a, b| a.1.total_cmp(&b.1));
-    let mut below = SAID_LEAST;
-    let middle = said.iter().find(|(weight, _)| {
-        below += weight;
-        2.0 * below >= weights
+    // Old reports say little of how much is in flight now.
+    let weighted = |(at, others): (Time, f64)| ((-now.since(at).ms() / REPORT_FADE_MS).exp(), others);
+    let mut reports: Vec<_> = listed.clone().filter_map(|b| b.reported_others).map(weighted).collect();
+    let total_weight = reports.iter().map(|(weight, _)| weight).sum::<f64>() + ZERO_REPORT_WEIGHT;
+    let mean_others = reports.iter().map(|(weight, others)| weight * others).sum::<f64>() / total_weight;
+    reports.sort_by(|a, b| a.1.total_cmp(&b.1));
+    let mut weight_below = ZERO_REPORT_WEIGHT;
+    let median = reports.iter().find(|(weight, _)| {
+        weight_below += weight;
+        2.0 * weight_below >= total_weight
     });
-    let middle = middle.map_or(0.0, |(_, others)| *others);
-    let (ready, out) =
-        (listed.clone().count() as f64, listed.clone().filter(|b| b.out.is_some()).count() as f64);
-    let size = listed.map(|b| b.listing.size).sum::<f64>() / ready.max(1.0);
-    TierNote::Tick { ready, out, others, middle, size }
+    let median_others = median.map_or(0.0, |(_, others)| *others);
+    let (ready, ejected) =
+        (listed.clone().count() as f64, listed.clone().filter(|b| b.ejected_until.is_some()).count() as f64);
+    let mean_size = listed.map(|b| b.listing.size).sum::<f64>() / ready.max(1.0);
+    TierMessage::Tick { ready, ejected, mean_others, median_others, mean_size }
 }
 
-/// What there is to tell another instance of them, the newest first.
-pub fn words(backends: &BTreeMap<BackendId, Backend>, now: Time) -> impl Iterator<Item = Observation> {
-    let mut words: Vec<_> = backends.values().filter_map(|b| b.tells(now)).collect();
-    words.sort_by_key(|word| word.age);
-    words.into_iter()
+/// The observations to send to another instance, newest first.
+pub fn observations(backends: &BTreeMap<BackendId, Backend>, now: Time) -> impl Iterator<Item = Observation> {
+    let mut observations: Vec<_> = backends.values().filter_map(|b| b.observation(now)).collect();
+    observations.sort_by_key(|observation| observation.age);
+    observations.into_iter()
 }
 
-/// How many backends of the list are out, or barred by hand.
-pub fn left_out(backends: &BTreeMap<BackendId, Backend>, barred: &BTreeSet<BackendId>) -> usize {
+/// How many listed backends are ejected, or disabled by operators.
+pub fn excluded_count(backends: &BTreeMap<BackendId, Backend>, disabled: &BTreeSet<BackendId>) -> usize {
     let listed = backends.iter().filter(|(_, b)| b.listing.condition != Condition::Gone);
-    listed.filter(|(id, b)| b.out.is_some() || barred.contains(id)).count()
+    listed.filter(|(id, b)| b.ejected_until.is_some() || disabled.contains(id)).count()
 }
 
-/// Whether all backends that are listed as ready are barred, and there are any.
-pub fn all_barred(backends: &BTreeMap<BackendId, Backend>, barred: &BTreeSet<BackendId>) -> bool {
+/// Whether there are backends listed as ready and all of them are disabled.
+pub fn all_disabled(backends: &BTreeMap<BackendId, Backend>, disabled: &BTreeSet<BackendId>) -> bool {
     let mut ready = backends.iter().filter(|(_, b)| b.listing.condition == Condition::Ready).peekable();
-    !barred.is_empty() && ready.peek().is_some() && ready.all(|(id, _)| barred.contains(id))
+    !disabled.is_empty() && ready.peek().is_some() && ready.all(|(id, _)| disabled.contains(id))
 }
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,11 +1,11 @@
-//! Plain measures over what was observed; they decide nothing.
+//! Statistics over observed values.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::peer_message::MAX_KEYS;
 use crate::time::{Span, Time};
 
-/// An exponentially smoothed mean, whose first value is taken whole.
+/// An exponentially smoothed mean that starts at its first value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Mean(Option<f64>);
 
@@ -18,91 +18,94 @@
         self.0 = Some(self.0.map_or(value, |mean| mean + (value - mean) * weight));
     }
 
-    pub fn or(&self, none: f64) -> f64 {
-        self.0.unwrap_or(none)
+    pub fn or(&self, default: f64) -> f64 {
+        self.0.unwrap_or(default)
     }
 
-    pub fn known(&self) -> Option<f64> {
+    pub fn value(&self) -> Option<f64> {
         self.0
     }
 }
 
-/// Part of a failure under which it is forgotten.
-const TRACE: f64 = 0.05;
+/// Faded counts below this are dropped.
+const MIN_FADED_COUNT: f64 = 0.05;
 
-/// How often something was judged of late, and how often it failed; both fade.
+/// How many attempts were recorded recently and how many of them failed; both counts fade.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
-    judged: f64,
-    failed: f64,
+pub struct FailureTally {
+    attempts: f64,
+    failures: f64,
 }
 
-impl Tally {
+impl FailureTally {
     pub fn add(&mut self, failed: f64) {
-        self.judged += 1.0;
-        self.failed += failed;
+        self.attempts += 1.0;
+        self.failures += failed;
     }
 
-    /// What has faded to a trace is forgotten, so that it decides no pick between equals.
-    pub fn fade(&mut self, by: f64) {
-        let failed = if self.failed < TRACE { 0.0 } else { self.failed * by };
-        (self.judged, self.failed) = (self.judged * by, failed);
+    /// Drops failures that have faded below `MIN_FADED_COUNT`, so that they don't decide between equal
+    /// backends.
+    pub fn fade(&mut self, factor: f64) {
+        let failures = if self.failures < MIN_FADED_COUNT { 0.0 } else { self.failures * factor };
+        (self.attempts, self.failures) = (self.attempts * factor, failures);
     }
 
-    /// The part that failed, where `others`, the part of its like, counts as much as `weight` of its own.
-    pub fn share(&self, others: f64, weight: f64) -> f64 {
-        (self.failed + others * weight) / (self.judged + weight)
+    /// The failed part, where `prior_ratio`, the failed part of similar attempts, counts as `prior_attempts`
+    /// attempts.
+    pub fn ratio(&self, prior_ratio: f64, prior_attempts: f64) -> f64 {
+        (self.failures + prior_ratio * prior_attempts) / (self.attempts + prior_attempts)
     }
 }
 
-/// Samples of the latest while: at least `least` long and `full` many, where there are as many at all.
+/// A sliding window of samples, bounded by age and by count.
 #[derive(Debug, Default)]
-pub struct Window(VecDeque<(Time, f64, bool)>);
+pub struct SampleWindow(VecDeque<(Time, f64, bool)>);
 
-impl Window {
-    /// `seen` is whether the value was seen whole, or only that it is no less.
-    pub fn add(&mut self, at: Time, value: f64, seen: bool) {
-        self.0.push_back((at, value, seen));
+impl SampleWindow {
+    /// `exact` tells a measured value from a lower bound.
+    pub fn add(&mut self, at: Time, value: f64, exact: bool) {
+        self.0.push_back((at, value, exact));
     }
 
-    /// Lets go of what is older than `most`, or older than `least` and not needed for `full` samples.
-    /// Then the 90th percentile of all and of those seen whole, if the window is long and full enough.
-    pub fn p90(&mut self, now: Time, least: Span, most: Span, full: usize) -> Option<(f64, f64)> {
+    /// Drops samples that are older than `max_age`, and those older than `min_age` beyond `min_samples`.
+    /// Returns the 90th percentiles of all samples and of the exact ones, if the window is long and full
+    /// enough.
+    pub fn p90(&mut self, now: Time, min_age: Span, max_age: Span, min_samples: usize) -> Option<(f64, f64)> {
         while let Some((at, ..)) = self.0.front() {
             let age = now.since(*at);
-            if age <= most && (age <= least || self.0.len() <= full) {
+            if age <= max_age && (age <= min_age || self.0.len() <= min_samples) {
                 break;
             }
             self.0.pop_front();
         }
         let (oldest, ..) = self.0.front()?;
-        if self.0.len() < full || now.since(*oldest).scaled(1.1) < least {
+        if self.0.len() < min_samples || now.since(*oldest).scaled(1.1) < min_age {
             return None;
         }
         let p90 = |all: bool| {
-            let kept = self.0.iter().filter(|(.., seen)| all || *seen);
-            let mut values: Vec<f64> = kept.map(|(_, value, _)| *value).collect();
-            let place = values.len() * 9 / 10;
-            (!values.is_empty()).then(|| *values.select_nth_unstable_by(place, f64::total_cmp).1)
+            let samples = self.0.iter().filter(|(.., exact)| all || *exact);
+            let mut values: Vec<f64> = samples.map(|(_, value, _)| *value).collect();
+            let index = values.len() * 9 / 10;
+            (!values.is_empty()).then(|| *values.select_nth_unstable_by(index, f64::total_cmp).1)
         };
-        let all = p90(true)?;
-        Some((all, p90(false).unwrap_or(all)))
+        let of_all = p90(true)?;
+        Some((of_all, p90(false).unwrap_or(of_all)))
     }
 }
 
-/// The last pairs of two figures, and how far they go together.
+/// The correlation of the latest pairs of two values.
 #[derive(Debug, Default)]
-pub struct Trend(VecDeque<(f64, f64)>);
+pub struct Correlation(VecDeque<(f64, f64)>);
 
-impl Trend {
-    pub fn add(&mut self, x: f64, y: f64, most: usize) {
+impl Correlation {
+    pub fn add(&mut self, x: f64, y: f64, max_pairs: usize) {
         self.0.push_back((x, y));
-        self.0.drain(..self.0.len().saturating_sub(most));
+        self.0.drain(..self.0.len().saturating_sub(max_pairs));
     }
 
-    /// Pearson's correlation times the root of the pairs, so that a few pairs need to go together more
-    /// closely than many; nothing before a dozen are in, or if either figure stands still.
-    pub fn strength(&self) -> f64 {
+    /// Pearson's correlation times the square root of the number of pairs, so that a few pairs have to
+    /// correlate more closely than many; 0 for fewer than a dozen pairs, or if either value is constant.
+    pub fn significance(&self) -> f64 {
         if self.0.len() < 12 {
             return 0.0;
         }
@@ -118,47 +121,49 @@
     }
 }
 
-/// A key that is met for the first time is taken for the one part of the other, as if it were that much met.
-const GUESSED: f64 = 0.3;
-const GUESSES: f64 = 12.0;
+/// A key seen for the first time counts as this many of `PRIOR_TOTAL_COUNT` requests.
+const PRIOR_KEY_COUNT: f64 = 0.3;
+const PRIOR_TOTAL_COUNT: f64 = 12.0;
 
-/// How often keys were met of late, here and elsewhere.
+/// How often keys were requested recently, here and at other instances.
 #[derive(Debug, Default)]
-pub struct Keys {
-    met: BTreeMap<u32, f64>,
-    all: f64,
-    /// The last that were met here.
-    pub last: VecDeque<u32>,
+pub struct KeyFrequencies {
+    counts: BTreeMap<u32, f64>,
+    total: f64,
+    /// Hashes of the last keys requested here.
+    pub recent: VecDeque<u32>,
 }
 
-impl Keys {
-    /// A key in short; two that are alike in it count as one.
-    fn short(key: u64) -> u32 {
+impl KeyFrequencies {
+    /// Shortens a key; keys with the same hash count as one.
+    fn hash(key: u64) -> u32 {
         (key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32
     }
 
     pub fn add(&mut self, key: u64) {
-        self.heard(Keys::short(key));
-        self.last.push_back(Keys::short(key));
-        self.last.drain(..self.last.len().saturating_sub(MAX_KEYS));
+        self.add_hash(KeyFrequencies::hash(key));
+        self.recent.push_back(KeyFrequencies::hash(key));
+        self.recent.drain(..self.recent.len().saturating_sub(MAX_KEYS));
     }
 
-    pub fn heard(&mut self, key: u32) {
-        *self.met.entry(key).or_default() += 1.0;
-        self.all += 1.0;
+    /// Counts the hash of a key that another instance sent.
+    pub fn add_hash(&mut self, hash: u32) {
+        *self.counts.entry(hash).or_default() += 1.0;
+        self.total += 1.0;
     }
 
-    pub fn fade(&mut self, by: f64) {
-        self.all *= by;
-        self.met.retain(|_, met| {
-            *met *= by;
-            *met > TRACE
+    pub fn fade(&mut self, factor: f64) {
+        self.total *= factor;
+        self.counts.retain(|_, count| {
+            *count *= factor;
+            *count > MIN_FADED_COUNT
         });
     }
 
-    /// The part of all that is this key's, by what goes beyond one meeting; a guess while few were met.
+    /// This key's part of all requests, not counting its first request; an estimate while few requests were
+    /// counted.
     pub fn share(&self, key: u64) -> f64 {
-        let more = (self.met.get(&Keys::short(key)).copied().unwrap_or(0.0) - 1.0).max(0.0);
-        (more + GUESSED) / (self.all + GUESSES)
+        let repeats = (self.counts.get(&KeyFrequencies::hash(key)).copied().unwrap_or(0.0) - 1.0).max(0.0);
+        (repeats + PRIOR_KEY_COUNT) / (self.total + PRIOR_TOTAL_COUNT)
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,5 @@
-//! Points in time and spans between them, in whole microseconds. The two do not mix by accident.
+//! Points in time and spans between them, in whole microseconds, as separate types so that they are not mixed
+//! up.
 
 use std::ops::{Add, Sub};
 
@@ -9,14 +10,14 @@
 pub struct Span(i64);
 
 impl Time {
-    /// The clock's own origin.
+    /// The origin of the clock.
     pub const ORIGIN: Time = Time(0);
 
     pub fn from_ms(ms: f64) -> Time {
         Time((ms * 1000.0).round() as i64)
     }
 
-    /// The span since an earlier point; nothing if that point is later.
+    /// The span since an earlier point; zero if that point is later.
     pub fn since(self, earlier: Time) -> Span {
         Span((self.0 - earlier.0).max(0))
     }
@@ -37,8 +38,8 @@
         self.0 as f64 / 1000.0
     }
 
-    pub fn scaled(self, by: f64) -> Span {
-        Span((self.0 as f64 * by).round() as i64)
+    pub fn scaled(self, factor: f64) -> Span {
+        Span((self.0 as f64 * factor).round() as i64)
     }
 }
 
