--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What a decision costs, by how many backends are listed and how many requests are held.
+//! The cost of a decision, by the number of listed backends and of pending requests.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use sparlug::event::{Action, AttemptEnd, Condition, Event, Listing, Load, Outcome, Request};
@@ -19,9 +19,9 @@
     }
 }
 
-/// A balancer before so many backends that holds so many requests, and the time by then. What it turns back for
-/// want of room it does not hold, so it is offered more until it holds enough.
-fn balancer(backends: u32, held: usize) -> (Balancer, Time) {
+/// A balancer with this many listed backends and pending requests, and the time by then. Requests that it
+/// refuses for lack of capacity are not pending, so it is offered more until enough are.
+fn balancer(backends: u32, pending: usize) -> (Balancer, Time) {
     let class = |effect| Class::new(Span::from_millis(210), Span::from_millis(530), effect);
     let classes = vec![class(Effect::Safe), class(Effect::AtMostOnce)];
     let (start, mut actions) = (Time::from_ms(1000.0), Vec::new());
@@ -29,7 +29,7 @@
     let timers = std::mem::take(&mut actions);
     let listings = (0..backends).map(listing).collect();
     balancer.handle(start, Event::ListReceived { full: true, listings }, &mut actions);
-    // With its first tick it takes the measure of the list.
+    // The first tick sets the limit according to the list.
     let mut start = start;
     for timer in timers {
         if let Action::SetTimer { after, id } = timer {
@@ -37,18 +37,18 @@
             balancer.handle(start, Event::TimerExpired(id), &mut actions);
         }
     }
-    let (mut holds, mut id) = (0, 0);
-    while holds < held {
-        assert!(id < 4 * held as u32, "{holds} are held, {held} can't be");
+    let (mut accepted, mut id) = (0, 0);
+    while accepted < pending {
+        assert!(id < 4 * pending as u32, "only {accepted} requests are pending, wanted {pending}");
         actions.clear();
-        take(&mut balancer, start, id, &mut actions);
+        receive(&mut balancer, start, id, &mut actions);
         id += 1;
-        holds += 1 - actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count();
+        accepted += 1 - actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count();
     }
     (balancer, start)
 }
 
-fn take(balancer: &mut Balancer, now: Time, id: u32, actions: &mut Vec<Action>) {
+fn receive(balancer: &mut Balancer, now: Time, id: u32, actions: &mut Vec<Action>) {
     let (class, deadline) = (ClassId((id % 2) as u16), now + Span::from_millis(530));
     let request = Request {
         id: RequestId(id.into()),
@@ -62,17 +62,17 @@
     balancer.handle(now, Event::RequestReceived(request), actions);
 }
 
-/// One request from its taking to its answer.
+/// Handles one request from its arrival to its response.
 fn request(balancer: &mut Balancer, now: Time, id: u32, actions: &mut Vec<Action>) {
-    take(balancer, now, id, actions);
-    let attempts = std::mem::take(actions);
-    for action in attempts {
+    receive(balancer, now, id, actions);
+    let sent = std::mem::take(actions);
+    for action in sent {
         let Action::Attempt { request, backend, .. } = action else { continue };
         let (outcome, took, load) = (Outcome::Served, Span::from_millis(20), Load::default());
         let (attempt, answered) = (AttemptNo(0), true);
-        let ended =
+        let end =
             AttemptEnd { request, attempt, backend, outcome, answered, body_discarded: false, took, load };
-        balancer.handle(now, Event::AttemptEnded(ended), actions);
+        balancer.handle(now, Event::AttemptEnded(end), actions);
     }
     actions.clear();
 }
@@ -88,12 +88,12 @@
             });
         });
     }
-    // Before so many backends that the limit has room for them all.
-    for held in [10, 1000, 10_000] {
-        group.bench_function(BenchmarkId::new("held", held), |b| {
+    // Lists enough backends for the limit to have room for all requests.
+    for pending in [10, 1000, 10_000] {
+        group.bench_function(BenchmarkId::new("held", pending), |b| {
             b.iter_batched_ref(
-                || (balancer(4000, held), Vec::new()),
-                |((balancer, now), actions)| take(balancer, *now, 1_000_000, actions),
+                || (balancer(4000, pending), Vec::new()),
+                |((balancer, now), actions)| receive(balancer, *now, 1_000_000, actions),
                 BatchSize::LargeInput,
             );
         });
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decisions on the bench's wire: one batch in, one reply out. Decides nothing.
+//! Runs instances of the decision module behind the simulator's binary protocol: reads one batch of events
+//! from standard input at a time and writes one reply with the actions to standard output.
 
 mod wire;
 
@@ -11,11 +12,11 @@
 use sparlug::policy::Balancer;
 use sparlug::time::Time;
 use sparlug_setup::LoadColumns;
-use wire::{Reader, Record, Reply, Tables, HEADER};
+use wire::{Reader, Record, Reply, Tables, HEADER_BYTES};
 
 struct Instance {
     balancer: Balancer,
-    columns: LoadColumns,
+    load_columns: LoadColumns,
     classes: usize,
 }
 
@@ -28,18 +29,17 @@
 }
 
 impl Host {
-    /// Runs one record and writes what its instance does about it.
-    fn run(&mut self, now: Time, number: u16, record: Record) -> Result<(), String> {
+    /// Handles one record and adds its instance's actions to the reply.
+    fn handle_record(&mut self, now: Time, number: u16, record: Record) -> Result<(), String> {
         let actions = &mut self.actions;
         actions.clear();
-        let ran = match record {
+        let result = match record {
             Record::Start { seed, setup } => {
-                let sparlug_setup::Setup { settings, load_columns: columns, .. } =
-                    sparlug_setup::decode(setup)?;
+                let sparlug_setup::Setup { settings, load_columns, .. } = sparlug_setup::decode(setup)?;
                 let classes = settings.classes.len();
                 let start = AssertUnwindSafe(|| Balancer::new(settings, seed, now, actions));
                 catch_unwind(start).map(|balancer| {
-                    self.instances.insert(number, Instance { balancer, columns, classes });
+                    self.instances.insert(number, Instance { balancer, load_columns, classes });
                 })
             }
             Record::Stop => {
@@ -61,36 +61,39 @@
         for action in &self.actions {
             self.reply.add(number, action);
         }
-        if let Err(panic) = ran {
+        if let Err(panic) = result {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a text");
-            self.reply.fault(number, text);
+            self.reply.add_panic(number, text);
             self.instances.remove(&number);
         }
         Ok(())
     }
 
-    fn batch(&mut self, count: u32, now: Time, body: &[u8]) -> Result<(), String> {
+    /// Handles all records of a batch.
+    fn handle_batch(&mut self, count: u32, now: Time, body: &[u8]) -> Result<(), String> {
         let mut reader = Reader::new(body);
-        for place in 0..count {
+        for index in 0..count {
             let instances = &self.instances;
-            let columns = |number| instances.get(&number).map_or(LoadColumns::default(), |i| i.columns);
-            let read = wire::record(&mut reader, &mut self.tables, columns);
-            let ran = read.and_then(|record| match record {
-                Some((number, record)) => self.run(now, number, record),
+            let columns = |number| {
+                instances.get(&number).map_or(LoadColumns::default(), |instance| instance.load_columns)
+            };
+            let record = wire::read_record(&mut reader, &mut self.tables, columns);
+            let result = record.and_then(|record| match record {
+                Some((number, record)) => self.handle_record(now, number, record),
                 None => Ok(()),
             });
-            ran.map_err(|e| format!("record {place}: {e}"))?;
+            result.map_err(|e| format!("record {index}: {e}"))?;
         }
-        match body.len() - reader.at() {
+        match body.len() - reader.position() {
             0 => Ok(()),
             left => Err(format!("{left} bytes left over after {count} records")),
         }
     }
 }
 
-/// Fills `buffer`, or tells that the input ended before its first byte.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
+/// Fills `buffer`. Returns false if the input ended before its first byte.
+fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
     let mut filled = 0;
     while filled < buffer.len() {
         match input.read(&mut buffer[filled..]) {
@@ -106,25 +109,29 @@
 
 fn serve(mut input: impl Read, output: impl Write) -> Result<(), String> {
     let (mut host, mut output) = (Host::default(), BufWriter::new(output));
-    let (mut header, mut body) = ([0; HEADER], Vec::new());
+    let (mut header, mut body) = ([0; HEADER_BYTES], Vec::new());
     for batch in 0_u64.. {
-        let at = |e: String| format!("batch {batch}: {e}");
-        if !fill(&mut input, &mut header).map_err(at)? {
+        let in_batch = |e: String| format!("batch {batch}: {e}");
+        if !read_full(&mut input, &mut header).map_err(in_batch)? {
             break;
         }
         let mut fields = Reader::new(&header);
-        let (count, length) = (fields.u32().map_err(at)?, fields.u32().map_err(at)? as usize);
-        let now = Time::from_ms(fields.f64().map_err(at)?);
-        let Some(rest) = length.checked_sub(HEADER - 8) else {
-            return Err(at(format!("length {length} leaves no room for the clock")));
+        let (count, length) = (fields.u32().map_err(in_batch)?, fields.u32().map_err(in_batch)? as usize);
+        let now = Time::from_ms(fields.f64().map_err(in_batch)?);
+        let Some(body_length) = length.checked_sub(HEADER_BYTES - 8) else {
+            return Err(in_batch(format!("length {length} leaves no room for the clock")));
         };
         body.clear();
-        let read = input.by_ref().take(rest as u64).read_to_end(&mut body).map_err(|e| at(e.to_string()))?;
-        if read < rest {
-            return Err(at(format!("input ends after {read} of {rest} bytes")));
+        let read = input
+            .by_ref()
+            .take(body_length as u64)
+            .read_to_end(&mut body)
+            .map_err(|e| in_batch(e.to_string()))?;
+        if read < body_length {
+            return Err(in_batch(format!("input ends after {read} of {body_length} bytes")));
         }
-        host.batch(count, now, &body).map_err(at)?;
-        host.reply.finish(&mut output).map_err(|e| at(format!("cannot write: {e}")))?;
+        host.handle_batch(count, now, &body).map_err(in_batch)?;
+        host.reply.finish(&mut output).map_err(|e| in_batch(format!("cannot write: {e}")))?;
     }
     Ok(())
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's frames and records, to and from the decisions' own words.
+//! Encodes and decodes the frames and records of the simulator's protocol.
 
 use sparlug::event::{Action, AttemptEnd, Condition, Event, Listing, Load, Outcome, Request};
 use sparlug::id::{AttemptNo, BackendId, ClassId, PeerId, PodId, RequestId, TenantId, TimerId, ZoneId};
@@ -6,35 +6,39 @@
 
 use sparlug_setup::LoadColumns;
 
-pub const HEADER: usize = 16;
-const TABLES: usize = 16;
-const PEERS_ALL: u16 = u16::MAX;
-const COST_VALID: u16 = 1;
+pub const HEADER_BYTES: usize = 16;
+const MAX_TABLES: usize = 16;
+const ALL_PEERS: u16 = u16::MAX;
+const COST_VALID_FLAG: u16 = 1;
 
 pub type Result<T> = std::result::Result<T, String>;
 
-/// Reads fields one after another and says where it stands when one is missing.
+/// Reads fields in sequence; errors name the position of a missing field.
 pub struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl<'a> Reader<'a> {
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
-        Reader { bytes, at: 0 }
+        Reader { bytes, position: 0 }
     }
 
-    pub fn at(&self) -> usize {
-        self.at
+    pub fn position(&self) -> usize {
+        self.position
     }
 
     pub fn take(&mut self, n: usize) -> Result<&'a [u8]> {
-        let end = self.at.checked_add(n).filter(|end| *end <= self.bytes.len());
+        let end = self.position.checked_add(n).filter(|end| *end <= self.bytes.len());
         let Some(end) = end else {
-            return Err(format!("{n} bytes wanted at byte {}, {} left", self.at, self.bytes.len() - self.at));
+            return Err(format!(
+                "wanted {n} bytes at byte {}, {} left",
+                self.position,
+                self.bytes.len() - self.position
+            ));
         };
-        let taken = &self.bytes[self.at..end];
-        self.at = end;
+        let taken = &self.bytes[self.position..end];
+        self.position = end;
         Ok(taken)
     }
 
@@ -61,12 +65,12 @@
     }
 
     pub fn f64(&mut self) -> Result<f64> {
-        let at = self.at;
+        let at = self.position;
         let number = f64::from_le_bytes(self.array()?);
         if number.is_finite() {
             Ok(number)
         } else {
-            Err(format!("{number} is no number, at byte {at}"))
+            Err(format!("{number} is not finite, at byte {at}"))
         }
     }
 
@@ -83,7 +87,7 @@
     }
 
     fn outcome(&mut self) -> Result<Outcome> {
-        let at = self.at;
+        let at = self.position;
         Ok(match self.u16()? {
             0 => Outcome::Error,
             1 => Outcome::Served,
@@ -99,11 +103,11 @@
 
     fn load(&mut self, columns: LoadColumns) -> Result<Load> {
         let mut load = Load::default();
-        for place in 0..usize::from(self.u8()?) {
+        for column in 0..usize::from(self.u8()?) {
             let value = Some(f64::from(self.f32()?)).filter(|v| v.is_finite() && *v >= 0.0);
-            if columns.in_flight == Some(place) {
+            if columns.in_flight == Some(column) {
                 load.in_flight = value;
-            } else if columns.queued == Some(place) {
+            } else if columns.queued == Some(column) {
                 load.queued = value;
             }
         }
@@ -114,7 +118,7 @@
         let _kind = self.u16()?;
         let zone = ZoneId(self.u16()?);
         let size = Some(f64::from(self.f32()?)).filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0);
-        let at = self.at;
+        let at = self.position;
         let condition = match self.u8()? {
             0 => Condition::Gone,
             1 => Condition::Ready,
@@ -127,22 +131,23 @@
     }
 }
 
-/// A record of a batch. `Event` is for one instance, whose report columns must be known to read it.
+/// A record of a batch. Reading an `Event` requires the load report columns of the instance that it is for.
 pub enum Record<'a> {
     Start { seed: u64, setup: &'a [u8] },
     Stop,
     Event(Event),
 }
 
-/// The lists that records of this process point at.
+/// The numbered lists of backends that records refer to.
 #[derive(Default)]
-pub struct Tables([Option<Vec<Listing>>; TABLES]);
+pub struct Tables([Option<Vec<Listing>>; MAX_TABLES]);
 
 impl Tables {
     fn define(&mut self, r: &mut Reader) -> Result<()> {
-        let (at, number) = (r.at(), r.u32()? as usize);
+        let (at, number) = (r.position(), r.u32()? as usize);
         let rows = r.u32()? as usize;
-        let slot = self.0.get_mut(number).ok_or(format!("list number {number} at byte {at}"))?;
+        let slot =
+            self.0.get_mut(number).ok_or(format!("list number {number} out of range, at byte {at}"))?;
         let mut listings = Vec::new();
         for _ in 0..rows {
             listings.push(r.listing()?);
@@ -151,7 +156,7 @@
         Ok(())
     }
 
-    fn listed(&self, form: u8, number: u32, at: usize) -> Result<Event> {
+    fn list_event(&self, form: u8, number: u32, at: usize) -> Result<Event> {
         if form == 3 {
             return Ok(Event::ListFailed);
         }
@@ -164,13 +169,13 @@
     }
 }
 
-/// Reads one record; `None` is one that concerns no instance.
-pub fn record<'a>(
+/// Reads one record. Returns `None` for a record that is not for an instance.
+pub fn read_record<'a>(
     r: &mut Reader<'a>,
     tables: &mut Tables,
     columns: impl Fn(u16) -> LoadColumns,
 ) -> Result<Option<(u16, Record<'a>)>> {
-    let at = r.at();
+    let at = r.position();
     let code = r.u8()?;
     if code == 110 {
         tables.define(r)?;
@@ -189,14 +194,14 @@
         100 => return Ok(Some((instance, Record::Stop))),
         20 => {
             let (form, _epoch, number) = (r.u8()?, r.u64()?, r.u32()?);
-            tables.listed(form, number, at)?
+            tables.list_event(form, number, at)?
         }
         30 => {
             let (id, class, tenant) = (RequestId(r.u32()?.into()), ClassId(r.u16()?), TenantId(r.u32()?));
             let key = Some(r.u64()?).filter(|key| *key != 0);
             let deadline = Time::from_ms(r.f64()?);
             let cost = r.span()?;
-            let cost = (r.u16()? & COST_VALID != 0).then_some(cost);
+            let cost = (r.u16()? & COST_VALID_FLAG != 0).then_some(cost);
             Event::RequestReceived(Request { id, class, tenant, key, deadline, cost, complete: true })
         }
         40 => {
@@ -233,7 +238,7 @@
     Ok(Some((instance, Record::Event(event))))
 }
 
-/// A reply under way: its records and how many there are.
+/// A reply under construction: its encoded records and their number.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -274,11 +279,11 @@
             }
             Action::Check { backend } => put_backend(self.begin(80, instance), *backend),
             Action::CloseIdle { backend } => put_backend(self.begin(120, instance), *backend),
-            // Nobody bars a backend by hand there, and every request comes whole.
+            // In the simulator no operator disables a backend, and every request arrives complete.
             Action::Withdraw { .. } | Action::SetTimeout { .. } => {}
             Action::SendToPeer { to, bytes } => {
                 let record = self.begin(110, instance);
-                record.extend(to.map_or(PEERS_ALL, |peer| peer.0).to_le_bytes());
+                record.extend(to.map_or(ALL_PEERS, |peer| peer.0).to_le_bytes());
                 put_text(record, bytes);
             }
             Action::WatchList { on } => self.begin(90, instance).push(u8::from(*on)),
@@ -289,19 +294,19 @@
         }
     }
 
-    /// Tells that the decisions of an instance broke.
-    pub fn fault(&mut self, instance: u16, text: &str) {
+    /// Adds that the decision module of an instance panicked.
+    pub fn add_panic(&mut self, instance: u16, text: &str) {
         put_text(self.begin(40, instance), text.as_bytes());
     }
 
-    /// Moves the finished frame to `out` and starts anew.
-    pub fn finish(&mut self, out: &mut impl std::io::Write) -> std::io::Result<()> {
-        out.write_all(&self.count.to_le_bytes())?;
-        out.write_all(&(self.records.len() as u32).to_le_bytes())?;
-        out.write_all(&self.records)?;
+    /// Writes the finished frame to `output` and clears the reply.
+    pub fn finish(&mut self, output: &mut impl std::io::Write) -> std::io::Result<()> {
+        output.write_all(&self.count.to_le_bytes())?;
+        output.write_all(&(self.records.len() as u32).to_le_bytes())?;
+        output.write_all(&self.records)?;
         self.records.clear();
         self.count = 0;
-        out.flush()
+        output.flush()
     }
 }
 
@@ -316,7 +321,7 @@
     record.extend(text);
 }
 
-/// The wire's ids have 32 bits; every request got its id from there.
+/// Ids have 32 bits in the protocol, and every request got its id from there.
 fn wire_id(request: &RequestId) -> u32 {
     request.0 as u32
 }
