--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,5 +1,6 @@
-//! The side of the backends: where each one is, the connections to it, and what each of them carries. It
-//! sends what it is told to where it is told to, once, and tells how that ended.
+//! The connections to backends: the address of each backend, its connection pool, and the attempt or check
+//! that each connection carries. The pool sends each message to the given backend exactly once and reports
+//! the result.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -23,77 +24,80 @@
 
 mod conn;
 
-use conn::{Came, Conn, Job, Stage};
+use conn::{Conn, Job, ResponseProgress, Stage};
 
-const WORDS_MOST: u8 = 8; // answers of the kind 1xx ahead of the one that counts
-const TRUSTED: u32 = 100; // kept connections in a row that held, until such may carry what may run only once
-const BEGIN_AFTER: Span = Span::from_millis(25); // an answer of unknown length goes on as it comes
-const SILENCE: Span = Span::from_millis(10_000); // for a body to go on, in either direction
-const IDLE_PART: f64 = 0.5; // of the backend's idle time, for which an idle connection is kept
+const MAX_INTERIM_RESPONSES: u8 = 8; // 1xx responses before the final response
+/// Number of reused connections in a row that have to deliver a response before idle connections may carry
+/// requests that must not run twice.
+const MIN_SUCCESSFUL_REUSES: u32 = 100;
+const STREAMING_DELAY: Span = Span::from_millis(25); // before a response of unknown length is streamed
+const BODY_IDLE_TIMEOUT: Span = Span::from_millis(10_000); // without progress of a body, in either direction
+const IDLE_TIMEOUT_RATIO: f64 = 0.5; // of the backend's own idle timeout
 
-/// One run of a backend's process: where it listens, and when it started. Another one shares no connection.
+/// One process of a backend. A backend that restarts or moves gets a new one, and connections to the old one
+/// are not reused.
 #[derive(Clone, Copy, PartialEq)]
-struct Life {
-    dial: SocketAddr,
+struct BackendProcess {
+    address: SocketAddr,
     started: Option<Time>,
 }
 
-/// Where a backend is, and the connections to it that stand idle, the last used one last.
-struct Place {
+/// A backend of the list, with its idle connections, the most recently used one last.
+struct PooledBackend {
     host: String,
-    life: Life,
-    /// When its process started, by the wall clock of whoever wrote the list.
-    stamp: Option<Time>,
+    process: BackendProcess,
+    /// Start time of its process as the list gives it, by the wall clock of the list's author.
+    listed_start: Option<Time>,
     listing: Listing,
-    idle: Vec<ConnSlot>,
-    conns: usize,
-    dialled: ConnectHistory,
+    idle_conns: Vec<ConnSlot>,
+    conn_count: usize,
+    connect_history: ConnectHistory,
 }
 
-/// What is sent, and how.
+/// A message to a backend and the conditions of sending it.
 pub struct OutgoingRequest<'a> {
     pub bytes: &'a [u8],
-    /// Nothing follows.
+    /// No further bytes follow.
     pub complete: bool,
-    /// It may run again, should it get lost.
+    /// The request may run again if it gets lost.
     pub repeatable: bool,
-    /// Where the time stands that it tells, which is what is left when it is written.
+    /// Position of the timeout header's value, which is set to the time left when the message is written.
     pub timeout_range: Option<Range<usize>>,
-    /// It may not begin from then on.
+    /// Writing must not start at or after this time.
     pub start_by: Option<Time>,
 }
 
 pub struct Pool {
-    places: BTreeMap<BackendId, Place>,
+    backends: BTreeMap<BackendId, PooledBackend>,
     conns: Slots<ConnTag, Conn>,
-    /// All that stand idle, the one that was used longest ago first.
-    standing: BTreeSet<(Time, ConnSlot)>,
+    /// All idle connections, the least recently used one first.
+    idle_by_age: BTreeSet<(Time, ConnSlot)>,
     budgets: Budgets,
-    /// How many kept connections in a row held when they were used again.
-    held_up: u32,
-    /// When a connection last came up.
-    last_up: Time,
-    /// How long a connection may take at the most, and what has been learnt of it.
-    dial: Span,
+    /// Number of reused connections in a row that have delivered a response.
+    successful_reuses: u32,
+    /// When a connection to any backend was last established.
+    last_established: Time,
+    /// Upper bound of the connect timeout.
+    max_connect_time: Span,
     connect_timeout: ConnectTimeout,
-    idle: Span,
+    idle_timeout: Span,
 }
 
 impl Pool {
-    pub fn new(budgets: Budgets, dial: Span, idle: Span) -> Pool {
-        let (places, conns, standing) = Default::default();
-        let idle = idle.scaled(IDLE_PART);
-        let connect_timeout = ConnectTimeout::new(dial);
+    pub fn new(budgets: Budgets, max_connect_time: Span, backend_idle_time: Span) -> Pool {
+        let (backends, conns, idle_by_age) = Default::default();
+        let idle_timeout = backend_idle_time.scaled(IDLE_TIMEOUT_RATIO);
+        let connect_timeout = ConnectTimeout::new(max_connect_time);
         Pool {
-            places,
+            backends,
             conns,
-            standing,
+            idle_by_age,
             budgets,
-            held_up: 0,
-            last_up: Time::default(),
-            dial,
+            successful_reuses: 0,
+            last_established: Time::default(),
+            max_connect_time,
             connect_timeout,
-            idle,
+            idle_timeout,
         }
     }
 
@@ -101,7 +105,7 @@
         self.budgets = budgets;
     }
 
-    /// Calls off what is on its way to a backend and of which nothing is written, and closes what stands idle.
+    /// Cancels the attempts at a backend of which nothing has been written, and closes its idle connections.
     pub fn withdraw(&mut self, backend: BackendId, io: &mut IoContext) {
         let unsent = |conn: &Conn| conn.backend == backend && !matches!(conn.stage, Stage::Busy { .. });
         let unsent = self.conns.iter().filter(|(_, conn)| unsent(conn)).map(|(slot, _)| slot);
@@ -114,64 +118,70 @@
         self.conns.iter().map(|(slot, _)| slot)
     }
 
-    /// How many backends the list has.
+    /// Number of backends on the list.
     pub fn listed_count(&self) -> usize {
-        self.places.values().filter(|place| place.listing.condition != Condition::Gone).count()
+        self.backends.values().filter(|entry| entry.listing.condition != Condition::Gone).count()
     }
 
-    /// The list as it is at hand, for the process that takes this one's place.
+    /// The current list, for the process that replaces this one in an upgrade.
     pub fn current_list(&self) -> Vec<HandoverHost> {
-        let listed = self.places.values().filter(|place| place.listing.condition != Condition::Gone);
-        let entry = |place: &Place| {
-            let (host, dial, stamp) = (place.host.clone(), place.life.dial, place.stamp);
-            HandoverHost::from_entry(&BackendEntry {
-                host,
-                address: dial,
-                listed_start: stamp,
-                listing: place.listing,
-            })
+        let listed = self.backends.values().filter(|entry| entry.listing.condition != Condition::Gone);
+        let handover_host = |entry: &PooledBackend| {
+            let (host, address, listed_start) =
+                (entry.host.clone(), entry.process.address, entry.listed_start);
+            HandoverHost::from_entry(&BackendEntry { host, address, listed_start, listing: entry.listing })
         };
-        listed.map(entry).collect()
+        listed.map(handover_host).collect()
     }
 
     pub fn is_listed(&self, backend: BackendId) -> bool {
-        self.places.get(&backend).is_some_and(|place| place.listing.condition != Condition::Gone)
+        self.backends.get(&backend).is_some_and(|entry| entry.listing.condition != Condition::Gone)
     }
 
-    /// How many backends are listed as ready.
+    /// Number of backends that are listed as ready.
     pub fn ready_count(&self) -> usize {
-        self.places.values().filter(|place| place.listing.condition == Condition::Ready).count()
-    }
-
-    /// Takes in a change of the list.
-    pub fn update_list(&mut self, whole: bool, entries: &[BackendEntry], io: &mut IoContext) {
-        if whole {
-            self.places.values_mut().for_each(|place| place.listing.condition = Condition::Gone);
-        }
-        for BackendEntry { host, address: dial, listed_start: stamp, listing } in entries {
-            let life = Life { dial: *dial, started: listing.started };
-            let place = self.places.entry(listing.backend).or_insert_with(|| {
-                tracing::info!(host, %dial, "listed");
-                let (idle, dialled) = Default::default();
-                Place { host: host.clone(), life, stamp: *stamp, listing: *listing, idle, conns: 0, dialled }
+        self.backends.values().filter(|entry| entry.listing.condition == Condition::Ready).count()
+    }
+
+    /// Applies a full list (`full`) or the changed entries of one. Closes connections that no longer fit the
+    /// list.
+    pub fn update_list(&mut self, full: bool, entries: &[BackendEntry], io: &mut IoContext) {
+        if full {
+            self.backends.values_mut().for_each(|entry| entry.listing.condition = Condition::Gone);
+        }
+        for BackendEntry { host, address, listed_start, listing } in entries {
+            let process = BackendProcess { address: *address, started: listing.started };
+            let entry = self.backends.entry(listing.backend).or_insert_with(|| {
+                tracing::info!(host, dial = %address, "listed");
+                let (idle_conns, connect_history) = Default::default();
+                PooledBackend {
+                    host: host.clone(),
+                    process,
+                    listed_start: *listed_start,
+                    listing: *listing,
+                    idle_conns,
+                    conn_count: 0,
+                    connect_history,
+                }
             });
-            (place.listing, place.life, place.stamp) = (*listing, life, *stamp);
+            (entry.listing, entry.process, entry.listed_start) = (*listing, process, *listed_start);
         }
-        let unfit = |conn: &Conn| match (&conn.stage, self.places.get(&conn.backend)) {
+        let unfit = |conn: &Conn| match (&conn.stage, self.backends.get(&conn.backend)) {
             (_, None) => true,
             (Stage::Busy { .. }, _) => false,
-            (_, Some(place)) => place.listing.condition != Condition::Ready || place.life != conn.life,
+            (_, Some(entry)) => entry.listing.condition != Condition::Ready || entry.process != conn.process,
         };
         let unfit = self.conns.iter().filter(|(_, conn)| unfit(conn)).map(|(slot, _)| slot);
         for slot in unfit.collect::<Vec<_>>() {
             self.close(slot, AttemptResult::Withdrawn, io);
         }
-        self.places.retain(|_, place| place.listing.condition != Condition::Gone || place.conns > 0);
+        self.backends.retain(|_, entry| entry.listing.condition != Condition::Gone || entry.conn_count > 0);
     }
 
-    /// Sends a message to a backend, on an idle connection or a new one. Whatever happens is told in a note. What
-    /// may not run `again` goes on a new one unless idle ones have held up: guards against backends and networks
-    /// that drop idle connections early, under a request which nobody then knows to have run.
+    /// Sends a message to a backend on an idle or a new connection; the result follows as a `ProxyEvent`. A
+    /// request that is not `repeatable` uses a new connection unless idle ones have proved reliable: where a
+    /// backend or a network drops idle connections early, it is unknown whether a request sent on one has
+    /// run.
     pub fn send(
         &mut self,
         backend: BackendId,
@@ -180,267 +190,281 @@
         until: Time,
         io: &mut IoContext,
     ) -> Option<ConnSlot> {
-        let found =
-            if message.repeatable || self.held_up >= TRUSTED { self.take_idle(backend, io) } else { None };
-        if found.is_some() {
+        let idle_conn = if message.repeatable || self.successful_reuses >= MIN_SUCCESSFUL_REUSES {
+            self.take_idle(backend, io)
+        } else {
+            None
+        };
+        if idle_conn.is_some() {
             io.counters.connections_reused += 1;
         }
-        let slot = match found.map_or_else(|| self.dial(backend, io), Ok) {
+        let slot = match idle_conn.map_or_else(|| self.open(backend, io), Ok) {
             Ok(slot) => slot,
-            Err(ending) => {
-                let done = JobResult {
+            Err(result) => {
+                let job_result = JobResult {
                     backend,
                     purpose,
-                    result: ending,
+                    result,
                     took: Span::ZERO,
                     load: Load::default(),
                     response: None,
                 };
-                io.events.push_back(ProxyEvent::JobEnded(done));
+                io.events.push_back(ProxyEvent::JobEnded(job_result));
                 return None;
             }
         };
         let conn = self.conns.get_mut(slot)?;
         let deadline = io.deadlines.set(until, TimerEvent::AttemptTimeout(slot));
-        conn.job = Some(Job { purpose, sent: io.now, deadline, whole: message.complete });
-        conn.used = io.now;
-        conn.told = message.timeout_range.map(|place| (place, until));
-        conn.by = message.start_by;
-        conn.link.queue(message.bytes);
+        conn.job = Some(Job { purpose, sent_at: io.now, deadline, complete: message.complete });
+        conn.last_used = io.now;
+        conn.timeout_header = message.timeout_range.map(|range| (range, until));
+        conn.start_by = message.start_by;
+        conn.stream.queue(message.bytes);
         self.handle_ready(slot, io);
         Some(slot)
     }
 
-    /// An idle connection that is still good, the last used one first. Those that had rested were tried first, against a
-    /// second answer that comes late, and served less (`docs/incidents/second-answers.md`).
+    /// Takes a usable idle connection, the most recently used one first. The opposite order, least recently
+    /// used first as a protection from a late second response, was tried and served fewer requests (see
+    /// `docs/incidents/second-answers.md`).
     fn take_idle(&mut self, backend: BackendId, io: &mut IoContext) -> Option<ConnSlot> {
         loop {
-            let slot = self.places.get_mut(&backend)?.idle.pop()?;
+            let slot = self.backends.get_mut(&backend)?.idle_conns.pop()?;
             let Some(conn) = self.conns.get_mut(slot) else { continue };
-            // Guards against writing on a connection that the backend has closed a moment ago, or is about to
-            // close because the proxy itself stood still.
-            let fresh = io.now < conn.used + self.idle;
-            if fresh && conn.quiet() {
+            // Guards against writing to a connection that the backend has just closed, or is about to close
+            // because the proxy itself was stalled.
+            let fresh = io.now < conn.last_used + self.idle_timeout;
+            if fresh && conn.is_quiet() {
                 io.deadlines.cancel(conn.deadline.take());
-                (conn.stage, conn.kept, conn.streams) = (Stage::Busy { written: false }, true, false);
-                self.standing.remove(&(conn.used, slot));
+                (conn.stage, conn.reused, conn.streaming) = (Stage::Busy { written: false }, true, false);
+                self.idle_by_age.remove(&(conn.last_used, slot));
                 return Some(slot);
             }
             self.close(slot, AttemptResult::Idle, io);
         }
     }
 
-    fn dial(&mut self, backend: BackendId, io: &mut IoContext) -> Result<ConnSlot, AttemptResult> {
-        let Some(Place { life, .. }) = self.places.get(&backend) else {
+    fn open(&mut self, backend: BackendId, io: &mut IoContext) -> Result<ConnSlot, AttemptResult> {
+        let Some(PooledBackend { process, .. }) = self.backends.get(&backend) else {
             return Err(AttemptResult::Withdrawn);
         };
-        let life = *life;
+        let process = *process;
         if self.conns.count()
             >= self.budgets.backends.max(self.budgets.total.saturating_sub(io.client_connections))
         {
-            // The connection that was idle for longest makes room.
-            let oldest = self.standing.first().map(|(_, slot)| *slot);
+            // At the limit, the connection that has been idle longest is closed.
+            let oldest = self.idle_by_age.first().map(|(_, slot)| *slot);
             self.close(oldest.ok_or(AttemptResult::NoRoom)?, AttemptResult::Idle, io);
         }
-        let conn = Conn::unconnected(backend, life, io.now);
+        let conn = Conn::unconnected(backend, process, io.now);
         let slot = self.conns.insert_with(|_| Some(conn)).ok_or(AttemptResult::NoRoom)?;
-        self.places.entry(backend).and_modify(|place| place.conns += 1);
+        self.backends.entry(backend).and_modify(|entry| entry.conn_count += 1);
         io.backend_connections += 1;
         Ok(slot)
     }
 
-    /// Makes the socket of a connection that is wanted.
+    /// Creates the socket of a new connection and starts to connect it.
     fn connect(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.retry_at <= io.now) else { return };
-        if let Err(e) = conn.link.connect(conn.life.dial) {
-            return self.dial_failed(slot, &e, io);
+        if let Err(e) = conn.stream.connect(conn.process.address) {
+            return self.connect_failed(slot, &e, io);
         }
-        conn.dialled = io.now;
-        if let (Some(_), Some(job)) = (conn.dial_failure.take(), &mut conn.job) {
-            job.sent = io.now; // guards against the wait for a socket counting as the backend's time
+        conn.connect_started = io.now;
+        if let (Some(_), Some(job)) = (conn.connect_failure.take(), &mut conn.job) {
+            job.sent_at = io.now; // the wait for a socket must not count as the backend's time
         }
-        let known = self.places.get(&conn.backend).map(|place| place.dialled).unwrap_or_default();
-        let until = io.now + self.connect_timeout.after(&known);
-        conn.set_dial_deadline(slot, Some(until), io);
+        let history = self.backends.get(&conn.backend).map(|entry| entry.connect_history).unwrap_or_default();
+        let until = io.now + self.connect_timeout.after(&history);
+        conn.set_connect_deadline(slot, Some(until), io);
         io.counters.connections_opened += 1;
         tracing::trace!(host = self.host_of(slot), "dialled");
     }
 
-    /// A connection could not be made. Where that may be the moment's fault it is tried again: nothing was sent.
-    fn dial_failed(&mut self, slot: ConnSlot, error: &std::io::Error, io: &mut IoContext) {
+    /// Handles a connect call that failed. Retries it where the cause may pass, as nothing has been sent yet.
+    fn connect_failed(&mut self, slot: ConnSlot, error: &std::io::Error, io: &mut IoContext) {
         io.counters.failures.count(SystemCall::Connect, error);
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let cause = Cause::of(error);
         if !cause.is_retryable() && cause != Cause::Network {
             return self.close(slot, AttemptResult::Refused, io);
         }
-        conn.dial_failure = Some(cause);
+        conn.connect_failure = Some(cause);
         conn.retry_at = io.now + RETRY_PAUSE;
         io.events.push_back(ProxyEvent::SendFailed(conn.backend));
         io.deadlines.set(conn.retry_at, TimerEvent::Recheck(Owner::Conn(slot)));
-        // Want of something ends with the attempt's own time; what may be the way to this backend, with that to dial.
-        let until = (cause == Cause::Network).then_some(conn.used + self.dial);
-        conn.set_dial_deadline(slot, until, io);
+        // A local shortage may last as long as the attempt's own timeout; a network failure, which may
+        // concern this backend only, as long as the connect timeout.
+        let until = (cause == Cause::Network).then_some(conn.last_used + self.max_connect_time);
+        conn.set_connect_deadline(slot, until, io);
     }
 
     fn host_of(&self, slot: ConnSlot) -> Option<&str> {
         self.host(self.conns.get(slot)?.backend)
     }
 
-    /// Does all that the connection is ready for.
+    /// Handles a readiness event: connects, writes and reads as far as the connection allows.
     pub fn handle_ready(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.advance(slot, io);
-        self.settle(slot, io);
+        self.schedule_retry(slot, io);
     }
 
-    fn settle(&mut self, slot: ConnSlot, io: &mut IoContext) {
+    fn schedule_retry(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        conn.link.retry_nodelay();
-        if io.schedule_retry(&mut conn.link, Owner::Conn(slot)) && conn.job.is_some() {
+        conn.stream.retry_nodelay();
+        if io.schedule_retry(&mut conn.stream, Owner::Conn(slot)) && conn.job.is_some() {
             io.events.push_back(ProxyEvent::SendFailed(conn.backend));
         }
     }
 
     fn advance(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        if matches!(conn.stage, Stage::Dialling) && !conn.link.is_connected() {
+        if matches!(conn.stage, Stage::Connecting) && !conn.stream.is_connected() {
             self.connect(slot, io);
         }
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        if matches!(conn.stage, Stage::Dialling) {
-            match conn.link.is_established() {
+        if matches!(conn.stage, Stage::Connecting) {
+            match conn.stream.is_established() {
                 Ok(false) => return,
                 Err(e) => {
                     io.counters.failures.count(SystemCall::Connect, &e);
                     return self.close(slot, AttemptResult::Refused, io);
                 }
                 Ok(true) => {
-                    self.last_up = io.now;
+                    self.last_established = io.now;
                     io.deadlines.cancel(conn.deadline.take());
                     conn.stage = Stage::Busy { written: false };
-                    if let Some(place) = self.places.get_mut(&conn.backend) {
-                        self.connect_timeout.record_success(&mut place.dialled, io.now.since(conn.dialled));
+                    if let Some(entry) = self.backends.get_mut(&conn.backend) {
+                        self.connect_timeout
+                            .record_success(&mut entry.connect_history, io.now.since(conn.connect_started));
                     }
                 }
             }
         }
-        if conn.is_too_late(io.now) {
+        if conn.missed_start_limit(io.now) {
             return self.close(slot, AttemptResult::TooLate, io);
         }
-        conn.tell_time_left(io.now);
+        conn.update_timeout_header(io.now);
         if !matches!(conn.stage, Stage::Busy { .. }) {
-            // Guards against closing a good connection for an event of what was read already, or for room to
-            // write: only an end, or bytes that nobody asked for, end it.
-            if !conn.quiet() {
+            // An event may stand for bytes that were read already, or for writability. Only a closed stream
+            // or unsolicited bytes are a reason to close an idle connection.
+            if !conn.is_quiet() {
                 self.close(slot, AttemptResult::Idle, io);
             }
             return;
         }
-        let sent = conn.link.flush();
-        conn.forget_begin();
+        let flushed = conn.stream.flush();
+        conn.clear_start_limit();
         let Stage::Busy { written } = &mut conn.stage else { return };
-        let whole = conn.job.as_ref().is_none_or(|job| job.whole);
-        if let (Ok(all), Some(job)) = (&sent, &mut conn.job) {
-            if *all && whole && !std::mem::replace(written, true) {
+        let request_complete = conn.job.as_ref().is_none_or(|job| job.complete);
+        if let (Ok(all_written), Some(job)) = (&flushed, &mut conn.job) {
+            if *all_written && request_complete && !std::mem::replace(written, true) {
                 io.counters.attempts_sent += u64::from(job.purpose != Purpose::Check);
-                // Guards against a slow client's time counting as the backend's.
-                job.sent = if conn.used > job.sent { io.now } else { job.sent };
+                // The time that a slow client takes to send its body must not count as the backend's.
+                job.sent_at = if conn.last_used > job.sent_at { io.now } else { job.sent_at };
             }
             match job.purpose {
-                Purpose::Attempt(request, _) if !whole && conn.link.unsent() <= io.window() / 2 => {
+                Purpose::Attempt(request, _)
+                    if !request_complete && conn.stream.unsent() <= io.window() / 2 =>
+                {
                     io.events.push_back(ProxyEvent::RequestBodyReady(request));
                 }
                 _ => {}
             }
         }
         let written = *written;
-        let read = conn.link.fill(if conn.streams { io.window() } else { MAX_BUFFERED_MESSAGE_BYTES });
-        for (call, failed) in
-            [(SystemCall::Write, sent.as_ref().err()), (SystemCall::Read, read.as_ref().err())]
+        let filled = conn.stream.fill(if conn.streaming { io.window() } else { MAX_BUFFERED_MESSAGE_BYTES });
+        for (call, error) in
+            [(SystemCall::Write, flushed.as_ref().err()), (SystemCall::Read, filled.as_ref().err())]
         {
-            failed.into_iter().for_each(|e| io.counters.failures.count(call, e));
+            error.into_iter().for_each(|e| io.counters.failures.count(call, e));
         }
-        if let (true, Some(Job { purpose: Purpose::Attempt(request, _), .. })) = (conn.streams, &conn.job) {
+        if let (true, Some(Job { purpose: Purpose::Attempt(request, _), .. })) = (conn.streaming, &conn.job) {
             return io.events.push_back(ProxyEvent::ResponseBodyReady(*request));
         }
-        // What was answered counts, also where the connection broke behind it.
-        match Conn::answer(conn) {
-            Err(ending) => self.close(slot, ending, io),
-            Ok(Came::Whole) => self.answered(slot, written, io),
-            Ok(Came::Long) => self.begin(slot, io),
-            Ok(Came::Part { unknown }) if sent.is_ok() && read.is_ok() && !conn.link.ended => {
-                if conn.link.input.len() >= MAX_BUFFERED_MESSAGE_BYTES && unknown {
-                    self.begin(slot, io);
-                } else if conn.link.input.len() >= MAX_BUFFERED_MESSAGE_BYTES {
+        // A complete response counts even if the connection broke after it.
+        match Conn::parse_response(conn) {
+            Err(result) => self.close(slot, result, io),
+            Ok(ResponseProgress::Complete) => self.response_complete(slot, written, io),
+            Ok(ResponseProgress::TooLong) => self.start_streaming(slot, io),
+            Ok(ResponseProgress::Partial { unknown_length })
+                if flushed.is_ok() && filled.is_ok() && !conn.stream.ended =>
+            {
+                if conn.stream.input.len() >= MAX_BUFFERED_MESSAGE_BYTES && unknown_length {
+                    self.start_streaming(slot, io);
+                } else if conn.stream.input.len() >= MAX_BUFFERED_MESSAGE_BYTES {
                     self.close(slot, AttemptResult::Garbled, io);
-                } else if conn.link.has_unread() {
-                    // Room was made by words on the way. They are bounded, and so is this.
+                } else if conn.stream.has_unread() {
+                    // Interim responses were dropped and made room in the buffer. Their number is bounded,
+                    // and so is this recursion.
                     self.advance(slot, io);
-                } else if unknown && conn.deadline.is_none() {
+                } else if unknown_length && conn.deadline.is_none() {
                     conn.deadline =
-                        Some(io.deadlines.set(io.now + BEGIN_AFTER, TimerEvent::StartStreaming(slot)));
+                        Some(io.deadlines.set(io.now + STREAMING_DELAY, TimerEvent::StartStreaming(slot)));
                 }
             }
-            Ok(Came::Part { .. }) => {
-                let ending = match (written, conn.link.input.is_empty()) {
-                    (_, true) if conn.kept && conn.words == 0 => AttemptResult::KeptBroke { written },
+            Ok(ResponseProgress::Partial { .. }) => {
+                let result = match (written, conn.stream.input.is_empty()) {
+                    (_, true) if conn.reused && conn.interim_responses == 0 => {
+                        AttemptResult::KeptBroke { written }
+                    }
                     (false, _) => AttemptResult::BrokeBefore,
                     (true, true) => AttemptResult::BrokeAfter,
                     (true, false) => AttemptResult::CutShort,
                 };
-                self.close(slot, ending, io);
+                self.close(slot, result, io);
             }
         }
     }
 
-    /// An answer came whole: the connection can be used again, or ends.
-    fn answered(&mut self, slot: ConnSlot, written: bool, io: &mut IoContext) {
+    /// Handles a complete response: reports it and reuses or closes the connection.
+    fn response_complete(&mut self, slot: ConnSlot, written: bool, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let Some(head) = conn.head.take() else { return };
-        conn.words = 0;
-        self.held_up = self.held_up.saturating_add(u32::from(conn.kept));
-        let message = conn.link.take_input(head.length + head.body.parsed_len());
+        conn.interim_responses = 0;
+        self.successful_reuses = self.successful_reuses.saturating_add(u32::from(conn.reused));
+        let message = conn.stream.take_input(head.length + head.body.parsed_len());
         io.deadlines.cancel(conn.deadline.take());
-        let ending = AttemptResult::Answered { status: head.status, not_started: head.not_started };
+        let result = AttemptResult::Answered { status: head.status, not_started: head.not_started };
         let keep = written && !head.close;
-        conn.finish(ending, head.load, Some((head, message)), io);
-        self.rest(slot, ending, keep, io);
+        conn.finish(result, head.load, Some((head, message)), io);
+        self.release(slot, result, keep, io);
     }
 
-    /// After an answer a connection stands idle, or ends.
-    fn rest(&mut self, slot: ConnSlot, ending: AttemptResult, keep: bool, io: &mut IoContext) {
+    /// Makes a connection idle after a response, or closes it.
+    fn release(&mut self, slot: ConnSlot, result: AttemptResult, keep: bool, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let room = self.standing.len() < self.budgets.idle;
-        let keep = keep && room && !conn.link.ended && conn.link.input.is_empty();
-        let place = self.places.get_mut(&conn.backend);
-        match place
-            .filter(|place| keep && place.listing.condition == Condition::Ready && place.life == conn.life)
-        {
-            None => self.close(slot, ending, io),
-            Some(place) => {
+        let has_capacity = self.idle_by_age.len() < self.budgets.idle;
+        let keep = keep && has_capacity && !conn.stream.ended && conn.stream.input.is_empty();
+        let entry = self.backends.get_mut(&conn.backend);
+        match entry.filter(|entry| {
+            keep && entry.listing.condition == Condition::Ready && entry.process == conn.process
+        }) {
+            None => self.close(slot, result, io),
+            Some(entry) => {
                 conn.stage = Stage::Idle;
-                conn.used = io.now;
-                conn.deadline = Some(io.deadlines.set(io.now + self.idle, TimerEvent::IdleTimeout(slot)));
-                place.idle.push(slot);
-                self.standing.insert((conn.used, slot));
+                conn.last_used = io.now;
+                conn.deadline =
+                    Some(io.deadlines.set(io.now + self.idle_timeout, TimerEvent::IdleTimeout(slot)));
+                entry.idle_conns.push(slot);
+                self.idle_by_age.insert((conn.last_used, slot));
             }
         }
     }
 
-    /// The answer is passed on as it comes from here on; its time is up to here.
-    fn begin(&mut self, slot: ConnSlot, io: &mut IoContext) {
+    /// Starts to stream the response to the client. The time that it took is counted up to here.
+    fn start_streaming(&mut self, slot: ConnSlot, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let (Some(Job { purpose: Purpose::Attempt(request, attempt), sent, deadline, .. }), Some(head)) =
+        let (Some(Job { purpose: Purpose::Attempt(request, attempt), sent_at, deadline, .. }), Some(head)) =
             (&mut conn.job, &conn.head)
         else {
             return self.close(slot, AttemptResult::Garbled, io);
         };
         io.deadlines.cancel(conn.deadline.take());
         io.deadlines.cancel(Some(*deadline));
-        *deadline = io.deadlines.set(io.now + SILENCE, TimerEvent::AttemptTimeout(slot));
-        (conn.streams, conn.used) = (true, io.now);
-        let message = conn.link.take_input(head.length + head.body.parsed_len());
-        let (backend, head, took) = (conn.backend, head.clone(), io.now.since(*sent));
+        *deadline = io.deadlines.set(io.now + BODY_IDLE_TIMEOUT, TimerEvent::AttemptTimeout(slot));
+        (conn.streaming, conn.last_used) = (true, io.now);
+        let message = conn.stream.take_input(head.length + head.body.parsed_len());
+        let (backend, head, took) = (conn.backend, head.clone(), io.now.since(*sent_at));
         let (request, attempt) = (*request, *attempt);
         io.events.push_back(ProxyEvent::ResponseStarted(StartedResponse {
             backend,
@@ -453,68 +477,68 @@
         io.events.push_back(ProxyEvent::ResponseBodyReady(request));
     }
 
-    /// The answer has not come to its end, and its length is unknown: it goes on as it comes.
+    /// Starts to stream a response of unknown length that has not ended within `STREAMING_DELAY`.
     pub fn start_streaming_due(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.handle_ready(slot, io);
-        if self.conns.get_mut(slot).is_some_and(|conn| conn.awaits_end()) {
-            self.begin(slot, io);
+        if self.conns.get_mut(slot).is_some_and(|conn| conn.has_open_ended_response()) {
+            self.start_streaming(slot, io);
         }
     }
 
-    /// The next bytes of an answer that is passed on as it comes, `room` at the most, and whether it ends with them.
-    /// If it breaks off, that is told in a note.
-    pub fn read_body(&mut self, slot: ConnSlot, room: usize, io: &mut IoContext) -> (Vec<u8>, bool) {
+    /// Reads up to `capacity` bytes of the body of a streamed response, and tells whether it ends with them.
+    /// If the body is cut short, that is reported as a `ProxyEvent`.
+    pub fn read_body(&mut self, slot: ConnSlot, capacity: usize, io: &mut IoContext) -> (Vec<u8>, bool) {
         let nothing = (Vec::new(), false);
         let window = io.window();
-        let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.streams) else { return nothing };
+        let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.streaming) else { return nothing };
         let Some(head) = &mut conn.head else { return nothing };
-        if conn.link.input.is_empty() && conn.link.has_unread() {
-            let _ = conn.link.fill(window);
-            io.schedule_retry(&mut conn.link, Owner::Conn(slot));
+        if conn.stream.input.is_empty() && conn.stream.has_unread() {
+            let _ = conn.stream.fill(window);
+            io.schedule_retry(&mut conn.stream, Owner::Conn(slot));
         }
-        let most = conn.link.input.len().min(room);
-        let Ok(length) = head.body.parse(&conn.link.input[..most]) else {
+        let available = conn.stream.input.len().min(capacity);
+        let Ok(length) = head.body.parse(&conn.stream.input[..available]) else {
             self.close(slot, AttemptResult::CutShort, io);
             return nothing;
         };
-        let bytes = conn.link.take_input(length);
+        let bytes = conn.stream.take_input(length);
         if !bytes.is_empty() {
-            conn.used = io.now;
+            conn.last_used = io.now;
         }
-        let ended = conn.link.ended && conn.link.input.is_empty();
-        let over = head.body.is_complete() || head.body.ends_at_close() && ended && !conn.link.broken;
-        if over {
-            let ending = AttemptResult::Answered { status: head.status, not_started: false };
+        let ended = conn.stream.ended && conn.stream.input.is_empty();
+        let complete = head.body.is_complete() || head.body.ends_at_close() && ended && !conn.stream.broken;
+        if complete {
+            let result = AttemptResult::Answered { status: head.status, not_started: false };
             let keep = !head.close && conn.is_written();
-            (conn.head, conn.words) = (None, 0);
-            conn.finish(ending, Load::default(), None, io);
-            self.rest(slot, ending, keep, io);
+            (conn.head, conn.interim_responses) = (None, 0);
+            conn.finish(result, Load::default(), None, io);
+            self.release(slot, result, keep, io);
         } else if ended {
             self.close(slot, AttemptResult::CutShort, io);
         }
-        (bytes, over)
+        (bytes, complete)
     }
 
-    /// How much more of a message can be pushed now.
+    /// How many more bytes of a request's body can be written now.
     pub fn write_capacity(&self, slot: ConnSlot, io: &IoContext) -> usize {
-        let pending = self.conns.get(slot).map_or(usize::MAX, |conn| conn.link.unsent());
-        io.window().saturating_sub(pending)
+        let unsent = self.conns.get(slot).map_or(usize::MAX, |conn| conn.stream.unsent());
+        io.window().saturating_sub(unsent)
     }
 
-    /// Goes on with a message that is not whole, up to its end if it is over.
-    pub fn write_body(&mut self, slot: ConnSlot, bytes: &[u8], over: bool, io: &mut IoContext) {
+    /// Writes more of a request's body; `complete` if it ends with these bytes.
+    pub fn write_body(&mut self, slot: ConnSlot, bytes: &[u8], complete: bool, io: &mut IoContext) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        conn.link.queue(bytes);
-        if !matches!(conn.stage, Stage::Dialling) {
-            conn.used = io.now;
+        conn.stream.queue(bytes);
+        if !matches!(conn.stage, Stage::Connecting) {
+            conn.last_used = io.now;
         }
         if let Some(job) = &mut conn.job {
-            job.whole = over;
+            job.complete = complete;
         }
         self.handle_ready(slot, io);
     }
 
-    /// What a connection carries has time until then.
+    /// Moves the timeout of the attempt that the connection carries.
     pub fn set_attempt_timeout(&mut self, slot: ConnSlot, until: Time, io: &mut IoContext) {
         if let Some(job) = self.conns.get_mut(slot).and_then(|conn| conn.job.as_mut()) {
             io.deadlines.cancel(Some(job.deadline));
@@ -522,30 +546,30 @@
         }
     }
 
-    /// Every end of a connection, and of what it carried, comes through here.
-    fn close(&mut self, slot: ConnSlot, ending: AttemptResult, io: &mut IoContext) {
+    /// Closes a connection and reports the result of what it carried. Every connection ends here.
+    fn close(&mut self, slot: ConnSlot, result: AttemptResult, io: &mut IoContext) {
         let Some(mut conn) = self.conns.remove(slot) else { return };
         io.backend_connections -= 1;
-        if matches!(ending, AttemptResult::KeptBroke { .. }) {
-            if self.held_up >= TRUSTED {
-                tracing::info!("kept connections break, what may run once goes on new ones");
+        if matches!(result, AttemptResult::KeptBroke { .. }) {
+            if self.successful_reuses >= MIN_SUCCESSFUL_REUSES {
+                tracing::info!("idle connections break when reused; unrepeatable requests get new ones");
             }
-            self.held_up = 0;
+            self.successful_reuses = 0;
         }
-        self.standing.remove(&(conn.used, slot));
+        self.idle_by_age.remove(&(conn.last_used, slot));
         io.deadlines.cancel(conn.deadline.take());
-        conn.finish(ending, Load::default(), None, io);
-        if let Some(place) = self.places.get_mut(&conn.backend) {
-            if ending == AttemptResult::NeverUp {
-                self.connect_timeout.record_timeout(&mut place.dialled);
+        conn.finish(result, Load::default(), None, io);
+        if let Some(entry) = self.backends.get_mut(&conn.backend) {
+            if result == AttemptResult::NeverUp {
+                self.connect_timeout.record_timeout(&mut entry.connect_history);
             }
-            place.conns -= 1;
-            place.idle.retain(|idle| *idle != slot);
-            if place.conns == 0 && place.listing.condition == Condition::Gone {
-                self.places.remove(&conn.backend);
+            entry.conn_count -= 1;
+            entry.idle_conns.retain(|idle| *idle != slot);
+            if entry.conn_count == 0 && entry.listing.condition == Condition::Gone {
+                self.backends.remove(&conn.backend);
             }
         }
-        conn.link.close(&io.registry);
+        conn.stream.close(&io.registry);
     }
 
     pub fn cancel(&mut self, slot: ConnSlot, io: &mut IoContext) {
@@ -553,7 +577,7 @@
         self.close(slot, AttemptResult::CalledOff { written }, io);
     }
 
-    /// Calls off what has not been written to its last byte, and so has not begun.
+    /// Cancels an attempt that has not been written to its last byte, and so cannot have run.
     pub fn cancel_unwritten(&mut self, slot: ConnSlot, io: &mut IoContext) {
         if self.conns.get(slot).is_some_and(|conn| !conn.is_written()) {
             self.cancel(slot, io);
@@ -561,43 +585,44 @@
     }
 
     pub fn close_idle(&mut self, backend: BackendId, io: &mut IoContext) {
-        let idle = self.places.get(&backend).map(|place| place.idle.clone()).unwrap_or_default();
+        let idle = self.backends.get(&backend).map(|entry| entry.idle_conns.clone()).unwrap_or_default();
         idle.into_iter().for_each(|slot| self.close(slot, AttemptResult::Idle, io));
     }
 
     pub fn connect_timed_out(&mut self, slot: ConnSlot, io: &mut IoContext) {
-        let by = self.conns.get(slot).and_then(|conn| conn.by);
-        let over = by.is_some_and(|by| io.now >= by);
-        let ending = match self.conns.get(slot) {
-            Some(conn) if conn.dial_failure.is_none() => AttemptResult::NeverUp,
-            // Others came up meanwhile: it is the way to this backend.
-            Some(conn) if self.last_up > conn.used => AttemptResult::Refused,
+        let start_by = self.conns.get(slot).and_then(|conn| conn.start_by);
+        let too_late = start_by.is_some_and(|start_by| io.now >= start_by);
+        let result = match self.conns.get(slot) {
+            Some(conn) if conn.connect_failure.is_none() => AttemptResult::NeverUp,
+            // Other connections were established meanwhile, so the network path to this backend is at fault.
+            Some(conn) if self.last_established > conn.last_used => AttemptResult::Refused,
             _ => AttemptResult::NoWay,
         };
-        self.close(slot, if over { AttemptResult::TooLate } else { ending }, io);
+        self.close(slot, if too_late { AttemptResult::TooLate } else { result }, io);
     }
 
     pub fn idle_timed_out(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.close(slot, AttemptResult::Idle, io);
     }
 
-    /// The time for what the connection carries is over. What has come by now still counts.
+    /// Handles the timeout of what the connection carries. A response that has arrived by now still counts.
     pub fn attempt_timed_out(&mut self, slot: ConnSlot, io: &mut IoContext) {
         self.handle_ready(slot, io);
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        // While a body is on its way only silence counts, and not where the other side is waited for.
-        let waits = match &conn.job {
-            Some(_) if conn.streams => Some(!conn.link.input.is_empty()),
-            Some(job) if !job.whole => Some(conn.link.unsent() == 0),
+        // While a body is being transferred only a lack of progress counts, and only while the backend causes
+        // it: not while response bytes wait to be passed on, nor while the client's next bytes are awaited.
+        let awaits_client = match &conn.job {
+            Some(_) if conn.streaming => Some(!conn.stream.input.is_empty()),
+            Some(job) if !job.complete => Some(conn.stream.unsent() == 0),
             _ => None,
         };
-        if let (Some(waits), Some(job)) = (waits, &mut conn.job) {
-            let since = if waits { io.now } else { conn.used };
-            if io.now < since + SILENCE {
-                job.deadline = io.deadlines.set(since + SILENCE, TimerEvent::AttemptTimeout(slot));
+        if let (Some(awaits_client), Some(job)) = (awaits_client, &mut conn.job) {
+            let since = if awaits_client { io.now } else { conn.last_used };
+            if io.now < since + BODY_IDLE_TIMEOUT {
+                job.deadline = io.deadlines.set(since + BODY_IDLE_TIMEOUT, TimerEvent::AttemptTimeout(slot));
                 return;
             }
-            if conn.streams {
+            if conn.streaming {
                 return self.close(slot, AttemptResult::CutShort, io);
             }
         }
@@ -607,23 +632,23 @@
         }
     }
 
-    /// How long a connection may take to come up; a check may take no longer.
+    /// Upper bound of the time to connect, which is also the timeout of a check.
     pub fn connect_timeout(&self) -> Span {
-        self.dial
+        self.max_connect_time
     }
 
     pub fn address(&self, backend: BackendId) -> Option<SocketAddr> {
-        self.places.get(&backend).map(|place| place.life.dial)
+        self.backends.get(&backend).map(|entry| entry.process.address)
     }
 
     pub fn host(&self, backend: BackendId) -> Option<&str> {
-        self.places.get(&backend).map(|place| place.host.as_str())
+        self.backends.get(&backend).map(|entry| entry.host.as_str())
     }
 
-    /// The host of the backend with whose id a text begins.
+    /// Host of the backend whose id a text starts with.
     pub fn host_named_in(&self, text: &str) -> Option<&str> {
         let id = text.split(' ').next()?;
-        let named = self.places.iter().find(|(backend, _)| backend.to_string() == id);
-        named.map(|(_, place)| place.host.as_str())
+        let named = self.backends.iter().find(|(backend, _)| backend.to_string() == id);
+        named.map(|(_, entry)| entry.host.as_str())
     }
 }
--- a/crates/proxy/src/pool/conn.rs
+++ b/crates/proxy/src/pool/conn.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend: what it carries, and how much of an answer has come.
+//! One connection to a backend: the job that it carries, and the parsing of its response.
 
 use std::ops::Range;
 
@@ -6,7 +6,7 @@
 use sparlug::id::BackendId;
 use sparlug::time::Time;
 
-use super::{Life, WORDS_MOST};
+use super::{BackendProcess, MAX_INTERIM_RESPONSES};
 use crate::attempt_result::AttemptResult;
 use crate::body::MAX_BODY_BYTES;
 use crate::buffered_stream::BufferedStream;
@@ -16,8 +16,8 @@
 use crate::shared::{ConnSlot, IoContext, JobResult, ProxyEvent, Purpose, TimerEvent};
 
 pub(super) enum Stage {
-    Dialling,
-    /// Its message is being written or its answer awaited.
+    Connecting,
+    /// A request is being written or its response awaited.
     Busy {
         written: bool,
     },
@@ -25,100 +25,106 @@
 }
 
 pub(super) struct Conn {
-    pub(super) link: BufferedStream,
+    pub(super) stream: BufferedStream,
     pub(super) backend: BackendId,
-    pub(super) life: Life,
+    pub(super) process: BackendProcess,
     pub(super) stage: Stage,
     pub(super) job: Option<Job>,
     pub(super) head: Option<ResponseHead>,
-    /// Answers of the kind 1xx so far.
-    pub(super) words: u8,
-    /// It has carried something before.
-    pub(super) kept: bool,
-    /// Its answer is passed on as it comes.
-    pub(super) streams: bool,
-    /// Of a message of which nothing is written: where it tells the time that is left, and until when that is, and when
-    /// it may no longer begin.
-    pub(super) told: Option<(Range<usize>, Time)>,
-    pub(super) by: Option<Time>,
-    /// When its socket was made.
-    pub(super) dialled: Time,
-    /// Why it has no socket, if none could be made, and when that is tried again.
-    pub(super) dial_failure: Option<Cause>,
+    /// Number of interim (1xx) responses to the current request.
+    pub(super) interim_responses: u8,
+    /// The connection has carried an earlier request.
+    pub(super) reused: bool,
+    /// The response is streamed to the client.
+    pub(super) streaming: bool,
+    /// Until writing starts: position of the timeout header's value in the message, and the end of that time.
+    pub(super) timeout_header: Option<(Range<usize>, Time)>,
+    /// Until writing starts: when it is too late for that.
+    pub(super) start_by: Option<Time>,
+    /// When its socket was created.
+    pub(super) connect_started: Time,
+    /// Why the socket could not be created, and when the next try is due.
+    pub(super) connect_failure: Option<Cause>,
     pub(super) retry_at: Time,
-    /// For the stage: when it must be up, when its answer goes on, or how long it may stand idle.
+    /// Timeout of the stage: of connecting, of waiting for the end of a response of unknown length, or of
+    /// idleness.
     pub(super) deadline: Option<DeadlineId>,
-    pub(super) used: Time,
+    pub(super) last_used: Time,
 }
 
-/// What a connection carries.
+/// The attempt or check that a connection carries.
 pub(super) struct Job {
     pub(super) purpose: Purpose,
-    pub(super) sent: Time,
+    pub(super) sent_at: Time,
     pub(super) deadline: DeadlineId,
-    /// All of its message is here; if not, more is pushed.
-    pub(super) whole: bool,
+    /// All of the message is queued; if not, `Pool::write_body` adds the rest.
+    pub(super) complete: bool,
 }
 
-/// How much of an answer has come.
-pub(super) enum Came {
-    /// Not all, and how long it is may be unknown.
-    Part {
-        unknown: bool,
+/// How much of a response has arrived.
+pub(super) enum ResponseProgress {
+    /// The end is still to come; `unknown_length` if nothing tells how long the body is.
+    Partial {
+        unknown_length: bool,
     },
-    Whole,
-    /// It is too long to be taken in whole.
-    Long,
+    Complete,
+    /// Too long to be buffered.
+    TooLong,
 }
 
 impl Conn {
-    /// A connection whose socket is still to be made.
-    pub(super) fn unconnected(backend: BackendId, life: Life, now: Time) -> Conn {
-        let (job, head, told, by, dial_failure, deadline) = Default::default();
+    /// A connection whose socket is still to be created.
+    pub(super) fn unconnected(backend: BackendId, process: BackendProcess, now: Time) -> Conn {
+        let (job, head, timeout_header, start_by, connect_failure, deadline) = Default::default();
         Conn {
-            link: BufferedStream::unconnected(),
+            stream: BufferedStream::unconnected(),
             backend,
-            life,
-            stage: Stage::Dialling,
+            process,
+            stage: Stage::Connecting,
             job,
             head,
-            words: 0,
-            kept: false,
-            streams: false,
-            told,
-            by,
-            dialled: now,
-            dial_failure,
+            interim_responses: 0,
+            reused: false,
+            streaming: false,
+            timeout_header,
+            start_by,
+            connect_started: now,
+            connect_failure,
             retry_at: now,
             deadline,
-            used: now,
+            last_used: now,
         }
     }
 
-    /// Sets when its dial is given up, at the latest when its message may no longer begin.
-    pub(super) fn set_dial_deadline(&mut self, slot: ConnSlot, until: Option<Time>, io: &mut IoContext) {
+    /// Sets the time at which connecting is given up, `start_by` at the latest.
+    pub(super) fn set_connect_deadline(&mut self, slot: ConnSlot, until: Option<Time>, io: &mut IoContext) {
         io.deadlines.cancel(self.deadline.take());
-        let until = until.into_iter().chain(self.by).min();
+        let until = until.into_iter().chain(self.start_by).min();
         self.deadline = until.map(|until| io.deadlines.set(until, TimerEvent::ConnectTimeout(slot)));
     }
 
-    /// Whether nothing of its message is written, and it may no longer begin.
-    pub(super) fn is_too_late(&self, now: Time) -> bool {
-        self.job.is_some() && !self.link.has_begun_writing() && self.by.is_some_and(|by| now >= by)
+    /// Whether nothing of the message has been written and it is too late to start.
+    pub(super) fn missed_start_limit(&self, now: Time) -> bool {
+        self.job.is_some()
+            && !self.stream.has_begun_writing()
+            && self.start_by.is_some_and(|start_by| now >= start_by)
     }
 
-    /// Guards against telling the backend a time of which dialling, or a write that failed, has used up a part.
-    pub(super) fn tell_time_left(&mut self, now: Time) {
-        let Some((place, until)) = self.told.as_mut().filter(|_| self.used < now) else { return };
-        let left = http::format_timeout(until.since(now));
-        self.link.replace_queued(place.clone(), left.as_bytes());
-        place.end = place.start + left.len();
+    /// Sets the timeout header to the time that is left now, as connecting or a failed write may have used up
+    /// a part.
+    pub(super) fn update_timeout_header(&mut self, now: Time) {
+        let Some((range, until)) = self.timeout_header.as_mut().filter(|_| self.last_used < now) else {
+            return;
+        };
+        let time_left = http::format_timeout(until.since(now));
+        self.stream.replace_queued(range.clone(), time_left.as_bytes());
+        range.end = range.start + time_left.len();
     }
 
-    /// What is begun is not written anew, and bound by its attempt's time alone.
-    pub(super) fn forget_begin(&mut self) {
-        if self.link.has_begun_writing() {
-            (self.told, self.by) = (None, None);
+    /// Once writing has started, the message is not changed any more and only the attempt's timeout applies.
+    pub(super) fn clear_start_limit(&mut self) {
+        if self.stream.has_begun_writing() {
+            (self.timeout_header, self.start_by) = (None, None);
         }
     }
 
@@ -126,69 +132,73 @@
         matches!(self.stage, Stage::Busy { written: true })
     }
 
-    /// Whether nothing has come, not even the end.
-    pub(super) fn quiet(&mut self) -> bool {
-        self.link.fill(1).is_ok() && !self.link.ended && self.link.input.is_empty()
+    /// Whether nothing has arrived: no bytes and no end of the stream.
+    pub(super) fn is_quiet(&mut self) -> bool {
+        self.stream.fill(1).is_ok() && !self.stream.ended && self.stream.input.is_empty()
     }
 
-    /// Whether an answer whose length is unknown has begun to come.
-    pub(super) fn awaits_end(&mut self) -> bool {
-        !self.streams && matches!(self.answer(), Ok(Came::Part { unknown: true }))
+    /// Whether the start of a response of unknown length has arrived, and it is not streamed yet.
+    pub(super) fn has_open_ended_response(&mut self) -> bool {
+        !self.streaming
+            && matches!(self.parse_response(), Ok(ResponseProgress::Partial { unknown_length: true }))
     }
 
-    /// How much of an answer has come.
-    pub(super) fn answer(&mut self) -> Result<Came, AttemptResult> {
+    /// Parses what has arrived of a response, skipping interim responses.
+    pub(super) fn parse_response(&mut self) -> Result<ResponseProgress, AttemptResult> {
         loop {
             if self.head.is_none() {
                 self.head =
-                    http::parse_response_head(&self.link.input).map_err(|_| AttemptResult::Garbled)?;
+                    http::parse_response_head(&self.stream.input).map_err(|_| AttemptResult::Garbled)?;
             }
-            let Some(head) = &mut self.head else { return Ok(Came::Part { unknown: false }) };
+            let Some(head) = &mut self.head else {
+                return Ok(ResponseProgress::Partial { unknown_length: false });
+            };
             if head.status >= 200 {
                 break;
             }
-            // Words on the way, such as 100, are no answer; nobody asked for another protocol, nor for no end.
+            // Interim responses such as 100 are skipped. 101 is an error, as the proxy never asks to switch
+            // protocols; so is an endless series of them.
             let length = head.length;
-            self.words += 1;
-            if self.words > WORDS_MOST || head.status == 101 {
+            self.interim_responses += 1;
+            if self.interim_responses > MAX_INTERIM_RESPONSES || head.status == 101 {
                 return Err(AttemptResult::Garbled);
             }
             self.head = None;
-            self.link.take_input(length);
+            self.stream.take_input(length);
         }
-        let attempt = matches!(self.job, Some(Job { purpose: Purpose::Attempt(..), .. }));
-        let Some(head) = &mut self.head else { return Ok(Came::Part { unknown: false }) };
-        let passes = attempt && head.status == 200;
+        let is_attempt = matches!(self.job, Some(Job { purpose: Purpose::Attempt(..), .. }));
+        let Some(head) = &mut self.head else {
+            return Ok(ResponseProgress::Partial { unknown_length: false });
+        };
+        let may_stream = is_attempt && head.status == 200;
         match head.body.parse_buffered(
-            &self.link.input[head.length..],
-            self.link.ended && !self.link.broken,
+            &self.stream.input[head.length..],
+            self.stream.ended && !self.stream.broken,
             MAX_BUFFERED_BODY_BYTES,
         ) {
-            Ok(Some(_)) => Ok(Came::Whole),
-            Ok(None) => Ok(Came::Part { unknown: passes && !head.body.has_length() }),
-            Err(HttpError::BodyTooLarge) if passes && head.body.size() <= MAX_BODY_BYTES => Ok(Came::Long),
+            Ok(Some(_)) => Ok(ResponseProgress::Complete),
+            Ok(None) => {
+                Ok(ResponseProgress::Partial { unknown_length: may_stream && !head.body.has_length() })
+            }
+            Err(HttpError::BodyTooLarge) if may_stream && head.body.size() <= MAX_BODY_BYTES => {
+                Ok(ResponseProgress::TooLong)
+            }
             Err(_) => Err(AttemptResult::Garbled),
         }
     }
 
-    /// Tells how what the connection carried has ended.
+    /// Reports the result of what the connection carried.
     pub(super) fn finish(
         &mut self,
-        ending: AttemptResult,
+        result: AttemptResult,
         load: Load,
-        answer: Option<(ResponseHead, Vec<u8>)>,
+        response: Option<(ResponseHead, Vec<u8>)>,
         io: &mut IoContext,
     ) {
-        let Some(Job { purpose, sent, deadline, .. }) = self.job.take() else { return };
+        let Some(Job { purpose, sent_at, deadline, .. }) = self.job.take() else { return };
         io.deadlines.cancel(Some(deadline));
-        let done = JobResult {
-            backend: self.backend,
-            purpose,
-            result: ending,
-            took: io.now.since(sent),
-            load,
-            response: answer,
-        };
-        io.events.push_back(ProxyEvent::JobEnded(done));
+        let job_result =
+            JobResult { backend: self.backend, purpose, result, took: io.now.since(sent_at), load, response };
+        io.events.push_back(ProxyEvent::JobEnded(job_result));
     }
 }
