--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! A listening socket: takes connections out of its queue one by one, and goes on after calls that failed.
+//! Accepts the connections of a listening socket one by one, and goes on after failed calls.
 
 use std::io::{self, ErrorKind};
 
@@ -11,11 +11,11 @@
 use crate::io_failures::{affects_one_connection, SystemCall};
 use crate::shared::{IoContext, Owner, TimerEvent};
 
-const FULL_PAUSE: Span = Span::from_millis(20); // while there is no room for one more
-const FAILURE_PAUSE: Span = Span::from_millis(5); // after a failure for want of something
-const FAILURES_MOST: usize = 64; // failures of single connections in a row, before others have their turn
+const CAPACITY_PAUSE: Span = Span::from_millis(20); // while the connection limit is reached
+const FAILURE_PAUSE: Span = Span::from_millis(5); // after a call that lacked a resource
+const MAX_FAILURES_PER_ACCEPT: usize = 64; // of single connections in a row, then others get a turn
 
-/// A socket that connections can be taken from.
+/// A listening TCP or Unix socket.
 pub trait Listener: Source {
     type Stream;
 
@@ -38,37 +38,45 @@
     }
 }
 
-/// What a look into the queue brought.
+/// The result of `Acceptor::accept`.
 pub enum Accepted<S> {
     Connection(S),
     /// The queue is empty.
     Empty,
-    /// The call failed and is made again later.
+    /// The call failed and is repeated later.
     Failed(io::Error),
-    /// It listens no more.
+    /// The listener has been closed.
     Closed,
 }
 
+/// A listening socket and the state of accepting from it.
 pub struct Acceptor<L = TcpListener> {
     listener: Option<L>,
-    /// Whose events tell that connections are in the queue.
+    /// Owner of the token under which the listener is registered.
     owner: Owner,
-    /// Connections may be waiting in the queue.
+    /// Connections may be pending in the listener's queue.
     pub may_have_pending: bool,
-    retry: Option<DeadlineId>,
-    /// Since when calls have failed without one that succeeded.
-    failing: Option<Time>,
-    /// Since when what is in the queue may have waited there, if calls have failed.
+    recheck: Option<DeadlineId>,
+    /// Since when every call has failed.
+    failing_since: Option<Time>,
+    /// Since when connections may have been pending because calls failed.
     pub delayed_since: Option<Time>,
 }
 
 impl<L: Listener> Acceptor<L> {
-    /// Takes connections from a listener that the event queue has.
+    /// Accepts from a listener that is registered with the event queue.
     pub fn new(listener: Option<L>, owner: Owner) -> Acceptor<L> {
-        Acceptor { listener, owner, may_have_pending: false, retry: None, failing: None, delayed_since: None }
+        Acceptor {
+            listener,
+            owner,
+            may_have_pending: false,
+            recheck: None,
+            failing_since: None,
+            delayed_since: None,
+        }
     }
 
-    /// Takes connections from a listener that the event queue does not have yet.
+    /// Registers a listener with the event queue and accepts from it.
     pub fn register(mut listener: L, owner: Owner, registry: &Registry) -> io::Result<Acceptor<L>> {
         registry.register(&mut listener, owner.token(), Interest::READABLE)?;
         Ok(Acceptor::new(Some(listener), owner))
@@ -78,20 +86,20 @@
         self.listener.as_ref()
     }
 
-    /// Takes the next connection out of the queue. A failure says nothing of the calls that follow: those are made
+    /// Accepts the next connection. A failed call says nothing about the next ones, so calls are repeated
     /// until one succeeds.
     pub fn accept(&mut self, io: &mut IoContext) -> Accepted<L::Stream> {
         self.may_have_pending = true;
-        for _ in 0..FAILURES_MOST {
+        for _ in 0..MAX_FAILURES_PER_ACCEPT {
             let Some(listener) = &self.listener else { return Accepted::Closed };
             let error = match listener.accept_stream() {
                 Ok(stream) => {
-                    self.succeeded(io.now);
+                    self.record_success(io.now);
                     return Accepted::Connection(stream);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     (self.may_have_pending, self.delayed_since) = (false, None);
-                    self.succeeded(io.now);
+                    self.record_success(io.now);
                     return Accepted::Empty;
                 }
                 Err(e) => e,
@@ -99,46 +107,46 @@
             io.counters.failures.count(SystemCall::Accept, &error);
             self.delayed_since = self.delayed_since.or(Some(io.now));
             if !affects_one_connection(&error) {
-                self.failed(&error, io);
+                self.record_failure(&error, io);
                 return Accepted::Failed(error);
             }
         }
-        self.look_again(FAILURE_PAUSE, io);
+        self.schedule_recheck(FAILURE_PAUSE, io);
         Accepted::Empty
     }
 
-    fn succeeded(&mut self, now: Time) {
-        if let Some(since) = self.failing.take() {
+    fn record_success(&mut self, now: Time) {
+        if let Some(since) = self.failing_since.take() {
             tracing::info!(for_ms = now.since(since).ms(), at = ?self.owner, "accepting connections again");
         }
     }
 
-    fn failed(&mut self, error: &io::Error, io: &mut IoContext) {
-        if self.failing.is_none() {
-            self.failing = Some(io.now);
+    fn record_failure(&mut self, error: &io::Error, io: &mut IoContext) {
+        if self.failing_since.is_none() {
+            self.failing_since = Some(io.now);
             tracing::warn!(%error, at = ?self.owner, "cannot accept");
         }
-        self.look_again(FAILURE_PAUSE, io);
+        self.schedule_recheck(FAILURE_PAUSE, io);
     }
 
-    /// There is no room for one more: the next look is a deadline's.
+    /// The connection limit is reached: tries again after a pause, without an event.
     pub fn wait_for_capacity(&mut self, io: &mut IoContext) {
-        // What waits for room waits no longer for a call that failed.
+        // Pending connections are now delayed by the limit and no longer by failed calls.
         (self.may_have_pending, self.delayed_since) = (true, None);
-        self.look_again(FULL_PAUSE, io);
+        self.schedule_recheck(CAPACITY_PAUSE, io);
     }
 
-    fn look_again(&mut self, pause: Span, io: &mut IoContext) {
-        io.deadlines.cancel(self.retry.take());
-        self.retry = Some(io.deadlines.set(io.now + pause, TimerEvent::Recheck(self.owner)));
+    fn schedule_recheck(&mut self, pause: Span, io: &mut IoContext) {
+        io.deadlines.cancel(self.recheck.take());
+        self.recheck = Some(io.deadlines.set(io.now + pause, TimerEvent::Recheck(self.owner)));
     }
 
-    /// Whether all that was in the queue has been taken out of it.
+    /// Whether all pending connections have been accepted.
     pub fn is_drained(&self) -> bool {
         self.listener.is_none() || !self.may_have_pending
     }
 
-    /// Listens no more.
+    /// Closes the listener.
     pub fn close(&mut self, io: &mut IoContext) {
         if let Some(mut listener) = self.listener.take() {
             let _ = io.registry.deregister(&mut listener);
--- a/crates/proxy/src/attempt_result.rs
+++ b/crates/proxy/src/attempt_result.rs
@@ -1,50 +1,54 @@
-//! Every way in which a connection to a backend can end, or a request on it, and what that means to the
-//! decisions. Nothing else maps what happened on a socket to an outcome.
+//! All results that a connection to a backend, or a request on it, can have, and the outcome that each one is
+//! for the balancer. This is the only place that maps events on a socket to outcomes.
 
 use sparlug::event::Outcome;
 
+/// How an attempt, a check or a connection ended. Log lines show the variants by `Debug`, so their names are
+/// fixed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// An answer came whole; the connection may go on.
+    /// A complete response arrived; the connection may be reused.
     Answered { status: u16, not_started: bool },
-    /// The connection was refused, or failed while it was being made.
+    /// The connection was refused, or failed while it was being established.
     Refused,
-    /// It was not up in time.
+    /// The connection was not established in time.
     NeverUp,
-    /// There was no way to it for as long as that was tried, nor to any other backend.
+    /// Neither this backend nor any other could be reached for as long as connecting was tried.
     NoWay,
-    /// It broke before the last byte of the request was written.
+    /// The connection broke before the last byte of the request was written.
     BrokeBefore,
-    /// It broke or ended after that, with no answer begun.
+    /// The connection broke or ended after the last byte of the request and before any byte of the response.
     BrokeAfter,
-    /// A connection that was kept from an earlier request broke or ended before any answer began; `written` tells
-    /// whether the backend may have the request.
+    /// A reused connection broke or ended before any byte of the response; `written` tells whether the
+    /// backend may have the request.
     KeptBroke { written: bool },
-    /// It broke or ended within an answer.
+    /// The connection broke or ended within a response.
     CutShort,
-    /// What came is no answer that can be passed on.
+    /// The backend sent something that is not a valid response.
     Garbled,
-    /// The time for the attempt was up, and `written` tells whether the backend may have it.
+    /// The attempt timed out; `written` tells whether the backend may have the request.
     OutOfTime { written: bool },
-    /// The decisions called the attempt off, or its client left; `written` tells whether the backend may have it.
+    /// The balancer cancelled the attempt, or its client is gone; `written` tells whether the backend may
+    /// have the request.
     CalledOff { written: bool },
-    /// The list said, before anything was written, that the backend takes nothing new.
+    /// Before anything was written, the list said that the backend takes no new requests.
     Withdrawn,
-    /// It was not up before the attempt might no longer begin.
+    /// The connection was not established before it was too late to start the attempt.
     TooLate,
     /// No descriptor was left for a connection.
     NoRoom,
-    /// The connection stood idle: for long enough, until the backend closed it, or until its place was
-    /// needed.
+    /// The connection was idle: until its timeout, until the backend closed it, or until another connection
+    /// needed its place.
     Idle,
 }
 
 impl AttemptResult {
+    /// The outcome that this result is for the balancer.
     pub fn outcome(self) -> Outcome {
         match self {
             AttemptResult::Answered { status: 200, .. } => Outcome::Served,
             AttemptResult::Answered { status: 503 | 504, not_started: true } => Outcome::Full,
-            // 408 and 429 speak of the moment, all others of the request.
+            // 408 and 429 depend on the moment; all other 4xx statuses depend on the request.
             AttemptResult::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::Faulted,
             AttemptResult::Answered { .. } => Outcome::Error,
             AttemptResult::Refused | AttemptResult::NeverUp | AttemptResult::BrokeBefore => {
@@ -57,7 +61,7 @@
             AttemptResult::BrokeAfter | AttemptResult::CutShort | AttemptResult::Garbled => Outcome::Broken,
             AttemptResult::OutOfTime { written: true } => Outcome::TimedOut,
             AttemptResult::CalledOff { written: true } => Outcome::Cancelled,
-            // What was still being written when its own time was up says nothing of the backend.
+            // A request that was still being written when it timed out says nothing about the backend.
             AttemptResult::NoRoom
             | AttemptResult::TooLate
             | AttemptResult::Idle
--- a/crates/proxy/src/buffered_stream.rs
+++ b/crates/proxy/src/buffered_stream.rs
@@ -1,6 +1,6 @@
-//! One non-blocking stream with what was read and not used, and what is to be written. Readiness is
-//! edge-triggered, so it remembers when it stopped reading with more to come, and when a call failed that is to be
-//! made again.
+//! A non-blocking stream with its input and output buffers. Readiness is edge-triggered, so the stream
+//! remembers when it stopped reading although more may be available, and when a failed call has to be
+//! repeated.
 
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Read, Result, Write};
@@ -14,129 +14,131 @@
 
 use crate::io_failures::Cause;
 
-const INTERRUPTIONS_MOST: u32 = 16; // in a row, after which others have their turn
-const PIECE: usize = 16 * 1024; // read at once
-pub const RETRY_PAUSE: Span = Span::from_millis(5); // before a call is made again that failed for want of something
+const MAX_INTERRUPTED_CALLS: u32 = 16; // in a row, before other streams get their turn
+const CHUNK_BYTES: usize = 16 * 1024; // read per call, and written bytes that are freed at once
+pub const RETRY_PAUSE: Span = Span::from_millis(5); // before repeating a call that lacked a resource
 
 thread_local! {
-    /// Where a read puts its bytes first. Guards against a large buffer for each of many connections that stand
-    /// idle, and against one that is made anew, all zeros, for each read.
-    static SCRATCH: RefCell<[u8; PIECE]> = const { RefCell::new([0; PIECE]) };
+    /// Buffer that each read fills first. It is shared because many idle connections would otherwise hold a
+    /// large buffer each, or each read would have to allocate and zero one.
+    static READ_BUFFER: RefCell<[u8; CHUNK_BYTES]> = const { RefCell::new([0; CHUNK_BYTES]) };
 }
 
+/// A stream with the bytes that were read and not used yet, and those that are still to be written.
 pub struct BufferedStream<S = TcpStream> {
-    /// `None` until a socket could be made.
+    /// `None` until a socket has been created.
     stream: Option<S>,
-    /// The event queue has it.
-    watched: bool,
+    /// The stream is registered with the event queue.
+    registered: bool,
     pub input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
-    /// Something of what was queued last has been written.
-    begun: bool,
-    /// Reading stopped at its bound, not because there was nothing more.
-    unread: bool,
-    /// A call failed for want of memory: it is to be made again, and no event will tell when.
-    stalled: bool,
-    /// The call was a read.
+    /// A part of the message queued last has been written.
+    begun_writing: bool,
+    /// Reading stopped at a limit and not because nothing more was available.
+    more_to_read: bool,
+    /// A call failed for lack of a resource and has to be repeated; no event will tell when.
+    retry_needed: bool,
+    /// The failed call was a read.
     read_failed: bool,
-    /// Small writes may wait, as the option against that could not be set.
-    delays: bool,
-    /// Whether it is up was looked at without success.
-    looked: bool,
-    /// When it is looked at again without an event.
-    look_at: Option<Time>,
+    /// `TCP_NODELAY` could not be set, so small writes may be delayed.
+    nodelay_failed: bool,
+    /// A check whether the connection is established has found that it is not yet.
+    found_unconnected: bool,
+    /// When the stream is handled again without an event.
+    retry_at: Option<Time>,
+    /// The other side has closed its direction, or the stream has failed.
     pub ended: bool,
-    /// It ended with an error.
+    /// The stream ended with an error.
     pub broken: bool,
 }
 
 impl<S: Read + Write + Source> BufferedStream<S> {
-    /// A link on a stream, which is to be watched.
+    /// Wraps a connected stream, which still has to be registered.
     pub fn new(stream: S) -> BufferedStream<S> {
         BufferedStream { stream: Some(stream), ..BufferedStream::unconnected() }
     }
 
-    /// A link whose stream is still to be made.
+    /// A stream whose socket is still to be created.
     pub fn unconnected() -> BufferedStream<S> {
         let (input, output) = (Vec::new(), Vec::new());
         BufferedStream {
             stream: None,
-            watched: false,
+            registered: false,
             input,
             output,
             written: 0,
-            begun: false,
-            unread: true,
-            stalled: false,
+            begun_writing: false,
+            more_to_read: true,
+            retry_needed: false,
             read_failed: false,
-            delays: false,
-            looked: false,
-            look_at: None,
+            nodelay_failed: false,
+            found_unconnected: false,
+            retry_at: None,
             ended: false,
             broken: false,
         }
     }
 
-    /// Has the event queue tell what happens on it, unless it does so already.
+    /// Registers the stream with the event queue unless that is done.
     pub fn register(&mut self, registry: &Registry, token: Token) -> Result<()> {
-        let Some(stream) = self.stream.as_mut().filter(|_| !self.watched) else { return Ok(()) };
-        let watched = registry.register(stream, token, Interest::READABLE | Interest::WRITABLE);
-        self.watched = watched.is_ok();
-        if watched.is_err() {
-            // In debug builds mio refuses to register anew what it has not been told to forget.
+        let Some(stream) = self.stream.as_mut().filter(|_| !self.registered) else { return Ok(()) };
+        let registered = registry.register(stream, token, Interest::READABLE | Interest::WRITABLE);
+        self.registered = registered.is_ok();
+        if registered.is_err() {
+            // In debug builds mio refuses a second registration of a source that was not deregistered.
             let _ = registry.deregister(stream);
         }
-        watched
+        registered
     }
 
     pub fn is_connected(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Whether a read failed that is to be made again.
+    /// Whether a read failed that has to be repeated.
     pub fn read_failed(&self) -> bool {
         self.read_failed
     }
 
-    /// When it is to be looked at again without an event, if a call that failed asks for that and no earlier time is
-    /// set. An error tells that the event queue did not take it.
+    /// Registers the stream if needed, and returns when it has to be handled again without an event, if a
+    /// failed call asks for that and no earlier retry is scheduled. The error is that of the registration.
     pub fn next_retry(&mut self, now: Time, registry: &Registry, token: Token) -> (Option<Time>, Result<()>) {
-        let watched = self.register(registry, token);
-        let wanted = std::mem::take(&mut self.stalled) || watched.is_err();
-        if !wanted || self.look_at.is_some_and(|at| at > now) {
-            return (None, watched);
+        let registered = self.register(registry, token);
+        let retry_needed = std::mem::take(&mut self.retry_needed) || registered.is_err();
+        if !retry_needed || self.retry_at.is_some_and(|at| at > now) {
+            return (None, registered);
         }
-        self.look_at = Some(now + RETRY_PAUSE);
-        (self.look_at, watched)
+        self.retry_at = Some(now + RETRY_PAUSE);
+        (self.retry_at, registered)
     }
 
-    /// Reads what there is, until `most` bytes are waiting to be used.
-    pub fn fill(&mut self, most: usize) -> Result<()> {
-        SCRATCH.with_borrow_mut(|piece| self.fill_by(piece, most))
+    /// Reads what is available, until `max_bytes` bytes are buffered.
+    pub fn fill(&mut self, max_bytes: usize) -> Result<()> {
+        READ_BUFFER.with_borrow_mut(|buffer| self.fill_with(buffer, max_bytes))
     }
 
-    fn fill_by(&mut self, piece: &mut [u8; PIECE], most: usize) -> Result<()> {
+    fn fill_with(&mut self, buffer: &mut [u8; CHUNK_BYTES], max_bytes: usize) -> Result<()> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
-        (self.unread, self.read_failed) = (true, false);
-        let mut interruptions = 0;
-        while self.input.len() < most && !self.ended {
-            let room = PIECE.min(most - self.input.len());
-            match stream.read(&mut piece[..room]) {
+        (self.more_to_read, self.read_failed) = (true, false);
+        let mut interrupted_calls = 0;
+        while self.input.len() < max_bytes && !self.ended {
+            let length = CHUNK_BYTES.min(max_bytes - self.input.len());
+            match stream.read(&mut buffer[..length]) {
                 Ok(0) => self.ended = true,
                 Ok(read) => {
                     self.input.reserve_exact(read);
-                    self.input.extend_from_slice(&piece[..read]);
+                    self.input.extend_from_slice(&buffer[..read]);
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted && interruptions < INTERRUPTIONS_MOST => {
-                    interruptions += 1;
+                Err(e) if e.kind() == ErrorKind::Interrupted && interrupted_calls < MAX_INTERRUPTED_CALLS => {
+                    interrupted_calls += 1;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.unread = false;
+                    self.more_to_read = false;
                     return Ok(());
                 }
                 Err(e) if Cause::of(&e).is_retryable() => {
-                    (self.unread, self.stalled, self.read_failed) = (false, true, true);
+                    (self.more_to_read, self.retry_needed, self.read_failed) = (false, true, true);
                     return Ok(());
                 }
                 Err(e) => {
@@ -148,54 +150,55 @@
         Ok(())
     }
 
-    /// How much is still to be written.
+    /// Number of bytes that are still to be written.
     pub fn unsent(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Whether something of what was queued last has been written.
+    /// Whether a part of the message queued last has been written.
     pub fn has_begun_writing(&self) -> bool {
-        self.begun
+        self.begun_writing
     }
 
-    /// Whether reading should go on without a new event.
+    /// Whether to go on reading without a new event.
     pub fn has_unread(&self) -> bool {
-        self.unread && !self.ended
+        self.more_to_read && !self.ended
     }
 
-    /// Drops the first bytes of what was read.
+    /// Removes the first bytes of the input and returns them.
     pub fn take_input(&mut self, bytes: usize) -> Vec<u8> {
         let rest = self.input.split_off(bytes);
         std::mem::replace(&mut self.input, rest)
     }
 
     pub fn queue(&mut self, bytes: &[u8]) {
-        self.begun &= !self.output.is_empty();
+        self.begun_writing &= !self.output.is_empty();
         self.output.extend_from_slice(bytes);
     }
 
-    /// Puts other bytes in the place of some that are to be written, unless writing has begun.
-    pub fn replace_queued(&mut self, place: Range<usize>, bytes: &[u8]) {
-        if !self.begun && place.end <= self.output.len() {
-            self.output.splice(place, bytes.iter().copied());
+    /// Replaces a range of the queued bytes, unless writing has begun.
+    pub fn replace_queued(&mut self, range: Range<usize>, bytes: &[u8]) {
+        if !self.begun_writing && range.end <= self.output.len() {
+            self.output.splice(range, bytes.iter().copied());
         }
     }
 
-    /// Writes what can be written now, and tells whether that was all.
+    /// Writes as much as possible now; returns whether all is written.
     pub fn flush(&mut self) -> Result<bool> {
         let Some(stream) = &mut self.stream else { return Ok(self.output.is_empty()) };
-        let mut interruptions = 0;
+        let mut interrupted_calls = 0;
         while self.written < self.output.len() {
             match stream.write(&self.output[self.written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(n) => (self.written, self.begun) = (self.written + n, true),
-                Err(e) if e.kind() == ErrorKind::Interrupted && interruptions < INTERRUPTIONS_MOST => {
-                    interruptions += 1;
+                Ok(n) => (self.written, self.begun_writing) = (self.written + n, true),
+                Err(e) if e.kind() == ErrorKind::Interrupted && interrupted_calls < MAX_INTERRUPTED_CALLS => {
+                    interrupted_calls += 1;
                 }
                 Err(e) if Cause::of(&e).is_retryable() => {
-                    self.stalled |= e.kind() != ErrorKind::WouldBlock;
-                    // Guards against a stream whose other side is never quite done with keeping all it wrote.
-                    if self.written >= PIECE {
+                    self.retry_needed |= e.kind() != ErrorKind::WouldBlock;
+                    // Guards against keeping all written bytes in memory while a slow reader never drains the
+                    // queue.
+                    if self.written >= CHUNK_BYTES {
                         self.output.drain(..self.written);
                         self.written = 0;
                     }
@@ -210,35 +213,36 @@
     }
 
     pub fn close(mut self, registry: &Registry) {
-        if let Some(stream) = self.stream.as_mut().filter(|_| self.watched) {
+        if let Some(stream) = self.stream.as_mut().filter(|_| self.registered) {
             let _ = registry.deregister(stream);
         }
     }
 }
 
 impl BufferedStream {
-    pub fn dial(to: SocketAddr, registry: &Registry, token: Token) -> Result<BufferedStream> {
-        let mut link = BufferedStream::unconnected();
-        link.connect(to)?;
-        link.register(registry, token)?;
-        Ok(link)
+    pub fn dial(address: SocketAddr, registry: &Registry, token: Token) -> Result<BufferedStream> {
+        let mut stream = BufferedStream::unconnected();
+        stream.connect(address)?;
+        stream.register(registry, token)?;
+        Ok(stream)
     }
 
-    /// Makes a socket that connects to an address, in the place of an earlier one.
-    pub fn connect(&mut self, to: SocketAddr) -> Result<()> {
-        (self.stream, self.watched, self.looked) = (None, false, false);
-        self.stream = Some(TcpStream::connect(to)?);
+    /// Creates a socket and starts to connect it; replaces an earlier socket.
+    pub fn connect(&mut self, address: SocketAddr) -> Result<()> {
+        (self.stream, self.registered, self.found_unconnected) = (None, false, false);
+        self.stream = Some(TcpStream::connect(address)?);
         Ok(())
     }
 
-    /// Whether a dialled connection is up; an error if it failed. A look that fails itself is taken again.
+    /// Whether the connection is established; an error if connecting failed. If the check itself fails, it is
+    /// repeated.
     pub fn is_established(&mut self) -> Result<bool> {
         let Some(stream) = &self.stream else { return Ok(false) };
         match stream.take_error() {
             Ok(None) => {}
             Ok(Some(e)) => return Err(e),
             Err(_) => {
-                self.stalled = true;
+                self.retry_needed = true;
                 return Ok(false);
             }
         }
@@ -248,27 +252,28 @@
                 Ok(true)
             }
             Err(e) => {
-                // A connection that is still being made has no peer, nor has one that was looked at before.
-                self.stalled =
-                    e.kind() != ErrorKind::NotConnected || std::mem::replace(&mut self.looked, true);
+                // `NotConnected` means that connecting is still going on, and an event will follow. If a
+                // check finds it a second time, no event may follow, so the check is repeated.
+                self.retry_needed = e.kind() != ErrorKind::NotConnected
+                    || std::mem::replace(&mut self.found_unconnected, true);
                 Ok(false)
             }
         }
     }
 
-    /// Has small writes go out at once.
+    /// Sets `TCP_NODELAY`, so that small writes are sent at once.
     pub fn set_nodelay(&mut self) {
-        self.delays = self.stream.as_ref().is_some_and(|stream| stream.set_nodelay(true).is_err());
+        self.nodelay_failed = self.stream.as_ref().is_some_and(|stream| stream.set_nodelay(true).is_err());
     }
 
-    /// The same where it failed before.
+    /// Sets `TCP_NODELAY` again if that failed before.
     pub fn retry_nodelay(&mut self) {
-        if self.delays {
+        if self.nodelay_failed {
             self.set_nodelay();
         }
     }
 
-    /// Ends the sending, so that the other side sees the end of what was written.
+    /// Shuts down the sending direction, so that the other side sees the end of the stream.
     pub fn shutdown_write(&mut self) {
         if let Some(stream) = &self.stream {
             let _: io::Result<()> = stream.shutdown(Shutdown::Write);
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -1,11 +1,11 @@
-//! The clock, and all deadlines in one ordered structure.
+//! The proxy's clock and its queue of deadlines.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use sparlug::time::{Span, Time};
 
-/// Unix time as it was at the start, carried on by a clock that never steps.
+/// Unix time at the start of the process, advanced by a monotonic clock.
 pub struct Clock {
     start: Instant,
     unix: Time,
@@ -22,53 +22,55 @@
     }
 }
 
-/// The name of one deadline, to call it off by.
+/// Identifies a deadline, so that it can be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineId(Time, u64);
 
-/// What is due, in order of time, and in the order it was set where times are the same.
+/// Pending deadlines, ordered by time and, where times are equal, by the order in which they were set.
 pub struct Deadlines<T> {
-    waiting: BTreeMap<DeadlineId, T>,
-    set: u64,
+    pending: BTreeMap<DeadlineId, T>,
+    sequence: u64,
 }
 
 impl<T> Default for Deadlines<T> {
     fn default() -> Deadlines<T> {
-        Deadlines { waiting: BTreeMap::new(), set: 0 }
+        Deadlines { pending: BTreeMap::new(), sequence: 0 }
     }
 }
 
 impl<T> Deadlines<T> {
-    pub fn set(&mut self, at: Time, what: T) -> DeadlineId {
-        self.set += 1;
-        let id = DeadlineId(at, self.set);
-        self.waiting.insert(id, what);
+    pub fn set(&mut self, at: Time, event: T) -> DeadlineId {
+        self.sequence += 1;
+        let id = DeadlineId(at, self.sequence);
+        self.pending.insert(id, event);
         id
     }
 
     pub fn cancel(&mut self, id: Option<DeadlineId>) {
         if let Some(id) = id {
-            self.waiting.remove(&id);
+            self.pending.remove(&id);
         }
     }
 
-    /// The next that is due at `now`, among those set before `before`.
-    pub fn pop_due(&mut self, now: Time, before: u64) -> Option<T> {
-        let first = self.waiting.first_entry().filter(|first| first.key().0 <= now)?;
-        if first.key().1 > before {
+    /// Removes and returns the next event that is due at `now`, if its sequence number is at most
+    /// `last_sequence`.
+    pub fn pop_due(&mut self, now: Time, last_sequence: u64) -> Option<T> {
+        let first = self.pending.first_entry().filter(|first| first.key().0 <= now)?;
+        if first.key().1 > last_sequence {
             return None;
         }
         Some(first.remove())
     }
 
-    /// How many were ever set: what is set by a deadline that is due waits for the next round.
+    /// Sequence number of the deadline set last. Passed to `pop_due`, it leaves deadlines that are set
+    /// meanwhile to the next round.
     pub fn last_sequence(&self) -> u64 {
-        self.set
+        self.sequence
     }
 
-    /// How long until the next one.
+    /// Time until the next deadline.
     pub fn time_to_next(&self, now: Time) -> Option<Duration> {
-        let next = self.waiting.first_key_value()?.0 .0;
+        let next = self.pending.first_key_value()?.0 .0;
         Some(Duration::from_secs_f64(next.since(now).ms() / 1000.0))
     }
 }
--- a/crates/proxy/src/io_failures.rs
+++ b/crates/proxy/src/io_failures.rs
@@ -1,4 +1,4 @@
-//! System calls that failed: whose fault that is, what is to be done about it, and how often it happened.
+//! Failed system calls: their cause, whether to repeat the call, and how often each failure happened.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,20 +6,20 @@
 
 use rustix::io::Errno;
 
-/// Whose fault a failure is.
+/// The cause of a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Nobody's: the call was interrupted, or found nothing to do.
+    /// No fault: the call was interrupted, or found nothing to do.
     NoFault,
-    /// This machine is short of something for the moment: descriptors, ports, memory, space.
+    /// A temporary shortage on this machine: of descriptors, ports, memory or disk space.
     Shortage,
-    /// A device of this machine fails.
+    /// A device of this machine failed.
     Device,
-    /// The way to the other side.
+    /// The network path to the other side.
     Network,
-    /// The other side refused or ended it.
+    /// The other side refused or closed the connection.
     RemoteEnd,
-    /// No error that a call documents for a moment.
+    /// Any other error, which no call documents as temporary.
     Other,
 }
 
@@ -55,11 +55,12 @@
         }
     }
 
-    /// Whether the call may succeed when it is made again on the same thing.
+    /// Whether the call may succeed if it is repeated on the same descriptor.
     pub fn is_retryable(self) -> bool {
         matches!(self, Cause::NoFault | Cause::Shortage | Cause::Device)
     }
 
+    /// The name in the metric `svc.failed_calls`.
     fn name(self) -> &'static str {
         match self {
             Cause::NoFault => "nobody",
@@ -72,24 +73,24 @@
     }
 }
 
-/// Whether a failure of `accept` is that of one connection, which is gone with it, and not of the listener.
+/// Whether a failure of `accept` concerns one connection, which is lost by it, and not the listener.
 pub fn affects_one_connection(error: &io::Error) -> bool {
     matches!(Cause::of(error), Cause::NoFault | Cause::Network | Cause::RemoteEnd)
 }
 
-/// Whether the process has no descriptor left, of as many as its own limit allows.
+/// Whether the process has reached its own limit of descriptors.
 pub fn is_descriptor_limit(error: &io::Error) -> bool {
     Errno::from_io_error(error) == Some(Errno::MFILE)
 }
 
-/// The calls whose failures are told apart.
+/// The system calls whose failures are counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SystemCall {
-    /// Taking a connection from the listener's queue.
+    /// Accepting a connection.
     Accept,
-    /// Adding a descriptor to the event queue.
+    /// Registering a descriptor with the event queue.
     Register,
-    /// Making a socket and connecting it to a backend.
+    /// Creating a socket and connecting it to a backend.
     Connect,
     /// Reading from a client or a backend.
     Read,
@@ -102,6 +103,7 @@
 }
 
 impl SystemCall {
+    /// The name in the metric `svc.failed_calls`.
     pub fn name(self) -> &'static str {
         match self {
             SystemCall::Accept => "accept",
@@ -115,7 +117,7 @@
     }
 }
 
-/// How often each call failed, by cause and error number; 0 stands for an error without one.
+/// Number of failures of each call by cause and error number; 0 stands for an error without a number.
 #[derive(Default)]
 pub struct IoFailures {
     counts: BTreeMap<(SystemCall, Cause, i32), u64>,
@@ -123,14 +125,14 @@
 
 impl IoFailures {
     pub fn count(&mut self, call: SystemCall, error: &io::Error) {
-        let number = error.raw_os_error().unwrap_or(0);
-        *self.counts.entry((call, Cause::of(error), number)).or_default() += 1;
+        let errno = error.raw_os_error().unwrap_or(0);
+        *self.counts.entry((call, Cause::of(error), errno)).or_default() += 1;
     }
 
-    /// The counts in the form that operators read, a figure a line.
+    /// The counts in the format of `/metrics`, one per line.
     pub fn report(&self) -> String {
-        let line = |((call, cause, number), count): (&(SystemCall, Cause, i32), &u64)| {
-            format!("svc.failed_calls.{}.{}.{number}:{count}|c\n", call.name(), cause.name())
+        let line = |((call, cause, errno), count): (&(SystemCall, Cause, i32), &u64)| {
+            format!("svc.failed_calls.{}.{}.{errno}:{count}|c\n", call.name(), cause.name())
         };
         self.counts.iter().map(line).collect()
     }
@@ -138,8 +140,8 @@
 
 impl fmt::Display for IoFailures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.counts.iter().try_for_each(|((call, cause, number), count)| {
-            write!(f, " failed_{}_{}_{number}={count}", call.name(), cause.name())
+        self.counts.iter().try_for_each(|((call, cause, errno), count)| {
+            write!(f, " failed_{}_{}_{errno}={count}", call.name(), cause.name())
         })
     }
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -274,7 +274,7 @@
             job.sent_at = io.now; // the wait for a socket must not count as the backend's time
         }
         let history = self.backends.get(&conn.backend).map(|entry| entry.connect_history).unwrap_or_default();
-        let until = io.now + self.connect_timeout.after(&history);
+        let until = io.now + self.connect_timeout.timeout_for(&history);
         conn.set_connect_deadline(slot, Some(until), io);
         io.counters.connections_opened += 1;
         tracing::trace!(host = self.host_of(slot), "dialled");
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -1,5 +1,5 @@
-//! What all parts of the one loop share: the present time, the deadlines, the counters, and the notes in
-//! which the parts tell the loop what has happened.
+//! Types that the parts of the event loop share: its context (time, deadlines, counters), and the events by
+//! which the parts report to it.
 
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -20,127 +20,132 @@
 use crate::listing::BackendList;
 use crate::slots::Slot;
 
-/// Marks of the kinds of slots.
+/// Tags that keep the kinds of slots apart.
 pub enum ClientTag {}
 pub enum ConnTag {}
 pub enum RequestTag {}
 pub enum AdminTag {}
 pub enum HandoverTag {}
 
-/// A connection that a caller opened.
+/// A connection that a client opened.
 pub type ClientSlot = Slot<ClientTag>;
 /// A connection to a backend.
 pub type ConnSlot = Slot<ConnTag>;
-/// A request until it is answered and all its attempts have ended.
+/// A request, until it is answered and all its attempts have ended.
 pub type RequestSlot = Slot<RequestTag>;
 /// A connection that an operator opened.
 pub type AdminSlot = Slot<AdminTag>;
-/// A process beside this one.
+/// A connection to the other process during an upgrade.
 pub type HandoverSlot = Slot<HandoverTag>;
 
+/// State of the event loop that its parts use while they handle an event.
 pub struct IoContext {
     pub registry: Registry,
     pub now: Time,
-    /// What is read now may have come as early as this.
+    /// Earliest time at which what is read now can have arrived.
     pub earliest_arrival: Time,
     pub deadlines: Deadlines<TimerEvent>,
     pub counters: Counters,
-    /// Connections from callers.
+    /// Number of open connections from clients.
     pub client_connections: usize,
-    /// Connections to backends.
+    /// Number of open connections to backends.
     pub backend_connections: usize,
+    /// Events that the proxy has not handled yet.
     pub events: VecDeque<ProxyEvent>,
-    /// Requests with bodies that are passed on as they come, and the bytes that those in each direction may hold.
+    /// Number of requests with a streamed body, and the bytes that all streamed bodies may hold in each
+    /// direction.
     pub streaming_requests: usize,
     pub streaming_bytes: usize,
 }
 
 impl IoContext {
-    /// Has a link looked at again where a call failed and no event will tell when it may succeed.
-    /// Whether it is.
+    /// Registers the stream unless that is done, and schedules a retry where a call failed and no event will
+    /// tell when it may succeed. Returns whether it scheduled one.
     pub fn schedule_retry<S: Read + Write + Source>(
         &mut self,
-        link: &mut BufferedStream<S>,
+        stream: &mut BufferedStream<S>,
         owner: Owner,
     ) -> bool {
-        let (at, watched) = link.next_retry(self.now, &self.registry, owner.token());
-        if let Err(e) = watched {
+        let (retry_at, registered) = stream.next_retry(self.now, &self.registry, owner.token());
+        if let Err(e) = registered {
             self.counters.failures.count(SystemCall::Register, &e);
         }
-        if let Some(at) = at {
-            self.deadlines.set(at, TimerEvent::Recheck(owner));
+        if let Some(retry_at) = retry_at {
+            self.deadlines.set(retry_at, TimerEvent::Recheck(owner));
         }
-        at.is_some()
+        retry_at.is_some()
     }
 }
 
-const WINDOW_LEAST: usize = 8 * 1024;
-const WINDOW_MOST: usize = 128 * 1024;
+const MIN_WINDOW_BYTES: usize = 8 * 1024;
+const MAX_WINDOW_BYTES: usize = 128 * 1024;
 
 impl IoContext {
-    /// How much of one body may be on its way through: the same for all.
+    /// How many bytes of one body may be buffered: an equal share for all streamed bodies.
     pub fn window(&self) -> usize {
-        (self.streaming_bytes / self.streaming_requests.max(1)).clamp(WINDOW_LEAST, WINDOW_MOST)
+        (self.streaming_bytes / self.streaming_requests.max(1)).clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES)
     }
 }
 
-/// What a deadline is for.
+/// What is due when a deadline passes.
 #[derive(Clone, Copy, Debug)]
 pub enum TimerEvent {
-    /// A timer of the decisions.
+    /// A timer that the balancer set.
     Balancer(TimerId),
-    /// A request's deadline.
+    /// The deadline of a request.
     RequestDeadline(RequestId),
-    /// A client's message that has begun and does not come to its end, or its connection's last moments.
+    /// The time limit of a client's connection: for a request to arrive, a response to be read, or lingering
+    /// after the last response.
     ClientTimeout(ClientSlot),
-    /// Something is to be looked at without an event: more may be there than was read, or a call failed.
+    /// A source to handle without an event: it may hold more than was read, or a call on it failed.
     Recheck(Owner),
-    /// A connection that should be up.
+    /// The time limit for a connection to be established.
     ConnectTimeout(ConnSlot),
-    /// The end of the time for what a connection carries.
+    /// The time limit of the attempt or check that a connection carries.
     AttemptTimeout(ConnSlot),
-    /// An answer whose length is unknown goes on from here, even if it is short.
+    /// A response of unknown length is streamed from now on, even if it is short.
     StartStreaming(ConnSlot),
-    /// The end of the time that a connection may stand idle.
+    /// The time limit of an idle connection.
     IdleTimeout(ConnSlot),
-    /// The answer of discovery, or the next call to it.
+    /// The time limit of a discovery request, or the time for the next one.
     Discovery,
-    /// The fleet's members have something to do.
+    /// The membership protocol of the fleet has something to do.
     Fleet,
-    /// The fleet is to be joined, which failed.
+    /// The next try to join the fleet, after one that failed.
     JoinFleet,
-    /// A duty is to be asked for, renewed or given away.
+    /// A duty's lease is to be requested, renewed or released.
     Duties,
-    /// The next step of going down.
+    /// The next step of the shutdown.
     Shutdown,
-    /// The configuration is to be read anew, which failed for a moment.
+    /// The next try to reload the configuration, after one that failed for a passing reason.
     Reload,
-    /// The end of the time for an operator's call.
+    /// The time limit of an operator's request.
     AdminTimeout(AdminSlot),
 }
 
-/// A request as it came, with the few things that were taken out.
+/// A request as received, with the fields that were parsed out of it.
 #[derive(Debug)]
 pub struct IncomingRequest {
     pub head: RequestHead,
     pub message: Vec<u8>,
     pub class: u16,
     pub tenant: TenantId,
-    /// How long the client waits from its last byte on, and until when if that has come.
+    /// How long the client waits, counted from the last byte of the request.
     pub timeout: Span,
+    /// The end of that time, if the last byte has arrived.
     pub deadline: Time,
-    /// Its last byte has come; if not, the rest is to be had from the client.
+    /// The last byte has arrived; if not, the rest is still to be read from the client.
     pub complete: bool,
 }
 
-/// What a connection to a backend is used for.
+/// What a connection to a backend carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     Attempt(RequestId, AttemptNo),
     Check,
 }
 
-/// What became of an attempt or a check.
+/// The result of an attempt or a check.
 #[derive(Debug)]
 pub struct JobResult {
     pub backend: BackendId,
@@ -148,47 +153,48 @@
     pub result: AttemptResult,
     pub took: Span,
     pub load: Load,
-    /// The whole answer, if one came.
+    /// The head and the whole message of the response, if one came.
     pub response: Option<(ResponseHead, Vec<u8>)>,
 }
 
-/// An answer that is passed on as it comes, at its beginning.
+/// The start of a response that is streamed to the client.
 #[derive(Debug)]
 pub struct StartedResponse {
     pub backend: BackendId,
     pub request: RequestId,
     pub attempt: AttemptNo,
     pub head: ResponseHead,
-    /// The head and what has come of the body.
+    /// The head and the part of the body that has arrived.
     pub message: Vec<u8>,
     pub took: Span,
 }
 
+/// What the parts of the event loop report to the proxy.
 #[derive(Debug)]
 pub enum ProxyEvent {
     RequestReceived(ClientSlot, IncomingRequest),
-    /// The client is gone; what it waited for.
+    /// The client of this request is gone.
     ClientGone(RequestId),
     JobEnded(JobResult),
     ResponseStarted(StartedResponse),
-    /// More of a request's body has come, or can be sent on.
+    /// More of the request's body has arrived, or can be written to the backend.
     RequestBodyReady(RequestId),
-    /// And of an answer's.
+    /// More of the response's body has arrived, or can be written to the client.
     ResponseBodyReady(RequestId),
-    /// A call of this machine failed that was to send something to a backend.
+    /// A system call that was needed to send something to this backend failed on this machine.
     SendFailed(BackendId),
-    /// A list, and the version that it follows.
+    /// A list of backends, and the version that it follows.
     ListReceived(BackendList, Option<u64>),
     ListFailed,
-    /// An operator asks for something.
+    /// An operator sent a request.
     AdminRequestReceived(AdminSlot, AdminRequest),
-    /// A process that takes this one's place, or whose place this one takes, has come or gone.
+    /// A process that replaces this one, or that this one replaces, has connected or gone.
     HandoverPeerChanged,
-    /// And what it says.
+    /// A message from that process.
     HandoverMessage(HandoverMessage),
 }
 
-/// Whose event it is.
+/// The part of the proxy and the connection that an event of the operating system belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Owner {
     Listener,
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/slots.rs
@@ -1,5 +1,5 @@
-//! Tables of numbered slots. A slot's name also tells whose turn in it is meant, so that an event for a
-//! record that has left finds nothing, though another may sit in its place.
+//! Tables of records that are identified by generational indices: an event for a record that has been removed
+//! finds nothing, even if another record uses the same index now.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -7,105 +7,109 @@
 
 use slab::Slab;
 
-const PLACE_BITS: u32 = 32;
-/// With the three bits of an owner's kind they fill a token.
-const TURN_BITS: u32 = 64 - PLACE_BITS - 3;
+const INDEX_BITS: u32 = 32;
+/// Together with the three bits of an owner's kind, index and generation fill a token.
+const GENERATION_BITS: u32 = 64 - INDEX_BITS - 3;
 
-/// The name of one record of the kind that the mark `K` stands for.
-pub struct Slot<K> {
-    place: u32,
-    turn: u32,
-    kind: PhantomData<fn() -> K>,
+/// Identifies one record of the kind that `Tag` stands for.
+pub struct Slot<Tag> {
+    index: u32,
+    generation: u32,
+    kind: PhantomData<fn() -> Tag>,
 }
 
-impl<K> Slot<K> {
-    /// Both halves in one number; no two records have the same one within half a billion turns.
+impl<Tag> Slot<Tag> {
+    /// Index and generation in one number, which is not used again within half a billion generations.
     pub fn to_number(self) -> u64 {
-        u64::from(self.turn) << PLACE_BITS | u64::from(self.place)
+        u64::from(self.generation) << INDEX_BITS | u64::from(self.index)
     }
 
-    pub fn from_number(number: u64) -> Slot<K> {
-        Slot { place: number as u32, turn: (number >> PLACE_BITS) as u32, kind: PhantomData }
+    pub fn from_number(number: u64) -> Slot<Tag> {
+        Slot { index: number as u32, generation: (number >> INDEX_BITS) as u32, kind: PhantomData }
     }
 }
 
-impl<K> Clone for Slot<K> {
-    fn clone(&self) -> Slot<K> {
+impl<Tag> Clone for Slot<Tag> {
+    fn clone(&self) -> Slot<Tag> {
         *self
     }
 }
 
-impl<K> Copy for Slot<K> {}
+impl<Tag> Copy for Slot<Tag> {}
 
-impl<K> PartialEq for Slot<K> {
-    fn eq(&self, other: &Slot<K>) -> bool {
+impl<Tag> PartialEq for Slot<Tag> {
+    fn eq(&self, other: &Slot<Tag>) -> bool {
         self.to_number() == other.to_number()
     }
 }
 
-impl<K> Eq for Slot<K> {}
+impl<Tag> Eq for Slot<Tag> {}
 
-impl<K> PartialOrd for Slot<K> {
-    fn partial_cmp(&self, other: &Slot<K>) -> Option<Ordering> {
+impl<Tag> PartialOrd for Slot<Tag> {
+    fn partial_cmp(&self, other: &Slot<Tag>) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<K> Ord for Slot<K> {
-    fn cmp(&self, other: &Slot<K>) -> Ordering {
+impl<Tag> Ord for Slot<Tag> {
+    fn cmp(&self, other: &Slot<Tag>) -> Ordering {
         self.to_number().cmp(&other.to_number())
     }
 }
 
-impl<K> fmt::Debug for Slot<K> {
+impl<Tag> fmt::Debug for Slot<Tag> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{}", self.place, self.turn)
+        write!(f, "{}#{}", self.index, self.generation)
     }
 }
 
-pub struct Slots<K, T> {
+/// A table of records that each have a `Slot`.
+pub struct Slots<Tag, T> {
     records: Slab<(u32, T)>,
-    turn: u32,
-    kind: PhantomData<fn() -> K>,
+    generation: u32,
+    kind: PhantomData<fn() -> Tag>,
 }
 
-impl<K, T> Default for Slots<K, T> {
-    fn default() -> Slots<K, T> {
-        Slots { records: Slab::new(), turn: 0, kind: PhantomData }
+impl<Tag, T> Default for Slots<Tag, T> {
+    fn default() -> Slots<Tag, T> {
+        Slots { records: Slab::new(), generation: 0, kind: PhantomData }
     }
 }
 
-impl<K, T> Slots<K, T> {
+impl<Tag, T> Slots<Tag, T> {
     pub fn count(&self) -> usize {
         self.records.len()
     }
 
-    /// Makes a record that may need to know its own slot; `None` if none was made.
-    pub fn insert_with(&mut self, make: impl FnOnce(Slot<K>) -> Option<T>) -> Option<Slot<K>> {
-        let turn = (self.turn + 1) % (1 << TURN_BITS);
+    /// Inserts the record that `make` returns for its slot; `None` if it returns none.
+    pub fn insert_with(&mut self, make: impl FnOnce(Slot<Tag>) -> Option<T>) -> Option<Slot<Tag>> {
+        let generation = (self.generation + 1) % (1 << GENERATION_BITS);
         let entry = self.records.vacant_entry();
-        let slot = Slot { place: entry.key() as u32, turn, kind: PhantomData };
-        entry.insert((turn, make(slot)?));
-        self.turn = turn;
+        let slot = Slot { index: entry.key() as u32, generation, kind: PhantomData };
+        entry.insert((generation, make(slot)?));
+        self.generation = generation;
         Some(slot)
     }
 
-    pub fn get(&self, slot: Slot<K>) -> Option<&T> {
-        self.records.get(slot.place as usize).filter(|(turn, _)| *turn == slot.turn).map(|(_, record)| record)
+    pub fn get(&self, slot: Slot<Tag>) -> Option<&T> {
+        self.records
+            .get(slot.index as usize)
+            .filter(|(generation, _)| *generation == slot.generation)
+            .map(|(_, record)| record)
     }
 
-    pub fn get_mut(&mut self, slot: Slot<K>) -> Option<&mut T> {
-        let found = self.records.get_mut(slot.place as usize);
-        found.filter(|(turn, _)| *turn == slot.turn).map(|(_, record)| record)
+    pub fn get_mut(&mut self, slot: Slot<Tag>) -> Option<&mut T> {
+        let entry = self.records.get_mut(slot.index as usize);
+        entry.filter(|(generation, _)| *generation == slot.generation).map(|(_, record)| record)
     }
 
-    pub fn remove(&mut self, slot: Slot<K>) -> Option<T> {
+    pub fn remove(&mut self, slot: Slot<Tag>) -> Option<T> {
         self.get(slot)?;
-        Some(self.records.remove(slot.place as usize).1)
+        Some(self.records.remove(slot.index as usize).1)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Slot<K>, &T)> {
-        let name = |place: usize, turn| Slot { place: place as u32, turn, kind: PhantomData };
-        self.records.iter().map(move |(place, (turn, record))| (name(place, *turn), record))
+    pub fn iter(&self) -> impl Iterator<Item = (Slot<Tag>, &T)> {
+        let slot = |index: usize, generation| Slot { index: index as u32, generation, kind: PhantomData };
+        self.records.iter().map(move |(index, (generation, record))| (slot(index, *generation), record))
     }
 }
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -1,6 +1,6 @@
-//! When backends started, on the proxy's own clock. Lists bear the wall clock's time of a start, and wall clocks step, by
-//! an hour or more: a stamp is held against what was heard of the backend and when, and where the two disagree the
-//! later start counts, after which the backend is warmed up anew.
+//! Start times of backends on the proxy's own clock. Lists carry start times by a wall clock, and wall clocks
+//! step, by an hour or more. Each listed time is therefore checked against when the proxy heard of the
+//! backend; where the two disagree, the later start counts, and the backend is warmed up again.
 
 use std::collections::BTreeMap;
 
@@ -9,72 +9,79 @@
 
 use crate::listing::BackendList;
 
-/// By how much the start of a backend that is new to the list may precede the last list without it.
-const UNLISTED_MOST: Span = Span::from_millis(60_000);
-/// Backends that have gone and are remembered all the same.
-const GONE_MOST: usize = 4_096;
+/// How long before the last list without it a backend that is new to the list may have started.
+const MAX_TIME_UNLISTED: Span = Span::from_millis(60_000);
+/// Number of backends that are remembered although they are no longer listed.
+const MAX_GONE_BACKENDS: usize = 4_096;
 
-/// What is known of a backend's process.
-struct Known {
-    stamp: Option<Time>,
+/// What is known of the process of a backend.
+struct StartRecord {
+    listed_start: Option<Time>,
     started: Option<Time>,
-    /// When a list last named it.
-    named: Time,
+    /// When a list last contained it.
+    last_listed: Time,
 }
 
+/// Start times of the backends on past lists.
 #[derive(Default)]
 pub struct StartTimes {
-    known: BTreeMap<BackendId, Known>,
-    /// When the last list came.
-    listed: Option<Time>,
-    /// Starts that were judged otherwise than their stamps say.
+    records: BTreeMap<BackendId, StartRecord>,
+    /// When the last list arrived.
+    last_list: Option<Time>,
+    /// Number of start times that were corrected.
     pub corrected: u64,
 }
 
 impl StartTimes {
-    /// Puts the start of each process on the proxy's own clock, in the place of its stamp.
+    /// Replaces the listed start time of each process by that on the proxy's own clock.
     pub fn correct(&mut self, list: &mut BackendList, now: Time) {
         for entry in &mut list.entries {
-            let stamp = entry.listed_start;
-            let started = match self.known.get(&entry.listing.backend) {
-                Some(known) if known.stamp == stamp => known.started,
-                known => {
-                    let earliest = self.earliest(known, stamp);
-                    stamp.map(|stamp| stamp.max(earliest).min(now))
+            let listed_start = entry.listed_start;
+            let started = match self.records.get(&entry.listing.backend) {
+                Some(record) if record.listed_start == listed_start => record.started,
+                record => {
+                    let earliest = self.earliest(record, listed_start);
+                    listed_start.map(|listed_start| listed_start.max(earliest).min(now))
                 }
             };
-            if let (Some(stamp), Some(started)) = (stamp, started) {
-                let other = stamp.since(started).max(started.since(stamp)) > Span::from_millis(1_000);
-                let anew =
-                    self.known.get(&entry.listing.backend).is_none_or(|known| known.stamp != Some(stamp));
-                self.corrected += u64::from(other && anew);
+            if let (Some(listed_start), Some(started)) = (listed_start, started) {
+                let differs =
+                    listed_start.since(started).max(started.since(listed_start)) > Span::from_millis(1_000);
+                let is_new = self
+                    .records
+                    .get(&entry.listing.backend)
+                    .is_none_or(|record| record.listed_start != Some(listed_start));
+                self.corrected += u64::from(differs && is_new);
             }
             entry.listing.started = started;
-            self.known.insert(entry.listing.backend, Known { stamp, started, named: now });
+            self.records
+                .insert(entry.listing.backend, StartRecord { listed_start, started, last_listed: now });
         }
-        self.listed = Some(now);
+        self.last_list = Some(now);
         self.forget(list.entries.len());
     }
 
-    /// The earliest that a process with a new stamp can have started.
-    fn earliest(&self, known: Option<&Known>, stamp: Option<Time>) -> Time {
-        match (known, self.listed, stamp) {
-            // Its earlier process was there when it was last named.
-            (Some(known), _, _) => known.named,
-            (None, Some(listed), Some(stamp)) if stamp + UNLISTED_MOST < listed => listed,
+    /// The earliest time at which a process with a new listed start can have started.
+    fn earliest(&self, record: Option<&StartRecord>, listed_start: Option<Time>) -> Time {
+        match (record, self.last_list, listed_start) {
+            // The earlier process still ran when a list last contained it.
+            (Some(record), _, _) => record.last_listed,
+            (None, Some(last_list), Some(listed_start)) if listed_start + MAX_TIME_UNLISTED < last_list => {
+                last_list
+            }
             _ => Time::default(),
         }
     }
 
-    /// Forgets those that were named longest ago, all that are too many at once.
-    fn forget(&mut self, listed: usize) {
-        let kept = 2 * listed + GONE_MOST;
-        if self.known.len() <= kept {
+    /// Forgets the backends that were listed longest ago, as many as are too many.
+    fn forget(&mut self, listed_count: usize) {
+        let max_records = 2 * listed_count + MAX_GONE_BACKENDS;
+        if self.records.len() <= max_records {
             return;
         }
-        let mut named: Vec<Time> = self.known.values().map(|known| known.named).collect();
-        named.sort_unstable();
-        let oldest = named[named.len() - kept];
-        self.known.retain(|_, known| known.named >= oldest);
+        let mut last_listed: Vec<Time> = self.records.values().map(|record| record.last_listed).collect();
+        last_listed.sort_unstable();
+        let oldest = last_listed[last_listed.len() - max_records];
+        self.records.retain(|_, record| record.last_listed >= oldest);
     }
 }
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -51,23 +51,24 @@
     assert_eq!(deadlines.pop_due(at(1), set + 1), None);
 }
 
-/// Guards against the whole time for a connection being spent at each of many backends that are lost together.
+/// Guards against the whole time for a connection being spent at each of many backends that are lost
+/// together.
 #[test]
 fn a_connection_is_waited_for_as_long_as_others_took_to_come_up() {
     let (ms, mut connect_timeout) = (|ms| Span::from_millis(ms), ConnectTimeout::new(Span::from_millis(100)));
     let (mut near, mut far) = (ConnectHistory::default(), ConnectHistory::default());
-    assert_eq!(connect_timeout.after(&near), ms(100), "nothing is known yet");
+    assert_eq!(connect_timeout.timeout_for(&near), ms(100), "nothing is known yet");
     (0..50).for_each(|_| connect_timeout.record_success(&mut near, ms(1)));
-    assert_eq!(connect_timeout.after(&far), ms(10), "a tenth at the least");
+    assert_eq!(connect_timeout.timeout_for(&far), ms(10), "a tenth at the least");
     // One that is forty times as far is reached all the same, and then has the time that it needs.
-    while connect_timeout.after(&far) < ms(40) {
+    while connect_timeout.timeout_for(&far) < ms(40) {
         connect_timeout.record_timeout(&mut far);
     }
     connect_timeout.record_success(&mut far, ms(40));
     (0..50).for_each(|_| connect_timeout.record_success(&mut near, ms(1)));
-    assert!(connect_timeout.after(&far) > ms(80) && connect_timeout.after(&near) < ms(20));
+    assert!(connect_timeout.timeout_for(&far) > ms(80) && connect_timeout.timeout_for(&near) < ms(20));
     (0..99).for_each(|_| connect_timeout.record_timeout(&mut far));
-    assert_eq!(connect_timeout.after(&far), ms(100), "never longer than the settings say");
+    assert_eq!(connect_timeout.timeout_for(&far), ms(100), "never longer than the settings say");
 }
 
 #[test]
