--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,10 +6,10 @@
 pub mod leases;
 pub mod member_count;
 pub mod membership;
-pub mod news;
+pub mod updates;
 pub mod view;
 pub mod wire;
 
-mod claims;
-mod exchange;
+mod lifecycle;
+mod merge;
 mod probing;
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -8,12 +8,12 @@
 use oorandom::Rand32;
 use sparlug::time::{Span, Time};
 
-use crate::claims::Suspicion;
 use crate::duties::DutyMessage;
-use crate::exchange::Claim;
+use crate::lifecycle::Claim;
 use crate::member_count::{divide_by, MemberCount};
-use crate::news::News;
+use crate::merge::Suspicion;
 use crate::probing::{Probe, Relay};
+use crate::updates::News;
 use crate::view::{MemberStatus, View};
 use crate::wire::{self, Bad, Body, Entry, Message, State};
 
