--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -1,5 +1,6 @@
-//! Duties by name, each held by one member for a lease: who asks when, who gives way to whom, and the voter's part.
-//! `leases` decides what is safe; here it is decided what is sensible, so any mistake here costs time and never makes two.
+//! Named duties, each held by one member under a lease: when leases are requested, which member gives way to
+//! which, and the voter's side. Safety rests on `leases` alone; decisions here affect only how soon a duty is
+//! held, so a mistake here costs time but never results in two holders.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,52 +9,60 @@
 use serde::{Deserialize, Serialize};
 use sparlug::time::{Span, Time};
 
-use crate::leases::{Answer, Electorate, Tenure, Voter};
-use crate::wire::Entry;
-
-/// Duties in one letter, and answers: so that it fits into a datagram whatever their holders' names.
-pub const ASKED_MOST: usize = 32;
-pub const ANSWERED_MOST: usize = 10;
-const MOVE: Span = Span::from_millis(500); // between two duties that are given to those who come before
-const GIVEN: Span = Span::from_millis(60_000); // until one that came back is given away again
-const LOOKED_AT: f64 = 64.0; // members for which each looks once a lease; more look seldomer
-const TOGETHER: f64 = 0.125; // of a lease, in which voters' answers come if they do
-const TURN: f64 = 0.125; // of a lease, between two that want what is free
-const RANKS: usize = 4; // beyond that, all wait as long for a duty that is free
+use crate::leases::{LeaseClaim, LeaseReply, Voter, VoterSets};
+use crate::wire::MemberRecord;
+
+/// Limits per message: they make it fit into a datagram however long the holders' names are.
+pub const MAX_DUTIES_PER_MESSAGE: usize = 32;
+pub const MAX_REPLIES_PER_MESSAGE: usize = 10;
+/// Between two duties that are handed off to better ranked members.
+const HANDOFF_INTERVAL: Span = Span::from_millis(500);
+/// Until a duty that came back after a hand-off is handed off again.
+const REPEATED_HANDOFF_INTERVAL: Span = Span::from_millis(60_000);
+/// Up to this fleet size each member queries the voters once per lease; in larger fleets less often.
+const MEMBERS_QUERYING_EACH_LEASE: f64 = 64.0;
+/// Part of a lease within which voters reply if they reply at all.
+const REPLY_WINDOW_RATIO: f64 = 0.125;
+/// Part of a lease between the requests of two members that want a free duty.
+const RANK_DELAY_RATIO: f64 = 0.125;
+/// Members beyond this rank wait equally long for a free duty.
+const MAX_DELAYED_RANKS: usize = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DutyMessage {
-    /// To a voter: these duties are wanted under these terms, or only looked at, with the term 0.
-    Ask {
+    /// To a voter: requests these duties under these terms; the term 0 only queries the holder.
+    Request {
         seq: u32,
         lease_ms: u32,
-        marks: Vec<u32>,
+        voter_set_checksums: Vec<u32>,
         duties: Vec<(u64, u64)>,
     },
-    Answer {
+    Reply {
         seq: u32,
-        answers: Vec<Answer>,
+        replies: Vec<LeaseReply>,
     },
-    /// To a voter: these are given back.
+    /// To a voter: releases these duties and terms.
     Release {
         duties: Vec<(u64, u64)>,
     },
-    /// To a member: these are free now, and it comes first.
-    Free {
+    /// To a member: these duties have been released, and the receiver is next in rank.
+    Offer {
         duties: Vec<u64>,
     },
 }
 
 impl DutyMessage {
-    pub fn makes_sense(&self, name_most: usize) -> bool {
+    pub fn is_valid(&self, max_name_bytes: usize) -> bool {
         match self {
-            DutyMessage::Ask { marks, duties, .. } => duties.len() <= ASKED_MOST && marks.len() <= 2,
-            DutyMessage::Answer { answers, .. } => {
-                answers.len() <= ANSWERED_MOST
-                    && answers.iter().all(|answer| answer.holder.len() <= name_most)
+            DutyMessage::Request { voter_set_checksums, duties, .. } => {
+                duties.len() <= MAX_DUTIES_PER_MESSAGE && voter_set_checksums.len() <= 2
+            }
+            DutyMessage::Reply { replies, .. } => {
+                replies.len() <= MAX_REPLIES_PER_MESSAGE
+                    && replies.iter().all(|reply| reply.holder.len() <= max_name_bytes)
             }
-            DutyMessage::Release { duties } => duties.len() <= ASKED_MOST,
-            DutyMessage::Free { duties } => duties.len() <= ASKED_MOST,
+            DutyMessage::Release { duties } => duties.len() <= MAX_DUTIES_PER_MESSAGE,
+            DutyMessage::Offer { duties } => duties.len() <= MAX_DUTIES_PER_MESSAGE,
         }
     }
 }
@@ -62,11 +71,11 @@
 pub struct Settings {
     pub duties: Vec<String>,
     pub lease: Span,
-    /// The voters; two sets while staff change from one to the other.
+    /// The sets of voters; two while operators change from one to the other.
     pub voters: Vec<Vec<SocketAddr>>,
     pub name: String,
     pub address: SocketAddr,
-    /// Of this process its own.
+    /// Identifies this process, see [`MemberRecord::generation`].
     pub generation: u64,
     pub seed: u64,
 }
@@ -74,20 +83,20 @@
 #[derive(Debug)]
 pub enum Event<'a> {
     Start,
-    /// It is at least as late as the last [`Action::SetTimer`] said.
+    /// The time of the last [`Action::SetTimer`] has come.
     TimerExpired,
-    /// Who is there, itself among them, and whether it keeps out.
+    /// The present members including this one, and whether this one is excluded from the fleet.
     MembersChanged {
         present: Vec<(String, SocketAddr)>,
         excluded: bool,
     },
     MessageReceived {
-        from: &'a Entry,
+        from: &'a MemberRecord,
         message: DutyMessage,
     },
-    /// Another process with its name and address may vote beside it, or no longer does.
+    /// Another process with this one's name and address may be voting at the same time, or no longer is.
     ProcessOverlap(bool),
-    /// Staff say that this one is not to hold a duty, or may again.
+    /// Operators forbid this member to hold a duty, or allow it again.
     SetPaused {
         duty: &'a str,
         paused: bool,
@@ -105,18 +114,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub acquired: u64,
-    /// Ended without being given back.
+    /// Leases that expired without being released.
     pub lost: u64,
     pub released: u64,
-    /// Questions of those that have other voters: none was answered.
+    /// Requests from processes with other voter sets: they are not answered.
     pub voter_mismatches: u64,
 }
 
-/// What is known here of one duty.
+/// What this member knows of one duty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutyStatus {
     pub name: String,
-    /// Who holds it, as far as is known.
+    /// The holder, if it is known.
     pub holder: Option<String>,
     pub term: u64,
     pub held_here: bool,
@@ -127,117 +136,120 @@
 #[derive(Debug, Default)]
 struct Duty {
     name: String,
-    tenure: Tenure,
-    /// The term under which it was told to be held here.
-    acting: Option<u64>,
-    /// When it may be asked for next.
-    next: Time,
-    known: Option<(String, u64, Time)>,
+    claim: LeaseClaim,
+    /// The term under which this member last became the holder, until the loss or release of the lease is
+    /// noticed.
+    acting_term: Option<u64>,
+    /// Earliest time of the next request.
+    next_request: Time,
+    /// Another holder's name, its term, and the expiry of its lease.
+    known_holder: Option<(String, u64, Time)>,
     paused: bool,
-    given: Option<Time>,
-    /// How many of those that are there come before this one, and the first of them.
+    handed_off_at: Option<Time>,
+    /// Number of present members that rank before this one, and the best ranked of the other members.
     rank: usize,
-    first: Option<SocketAddr>,
+    best_other: Option<SocketAddr>,
 }
 
 pub struct Duties {
     settings: Settings,
-    electorate: Electorate,
-    marks: Vec<u32>,
+    voters: VoterSets,
+    voter_set_checksums: Vec<u32>,
     voter: Option<Voter>,
-    beside: bool,
+    process_overlap: bool,
     rng: Rand32,
     now: Time,
-    began: Time,
-    seq: u32,
+    started_at: Time,
+    last_seq: u32,
     duties: BTreeMap<u64, Duty>,
-    there: Vec<(String, SocketAddr)>,
-    there_since: Time,
+    present: Vec<(String, SocketAddr)>,
+    present_since: Time,
     excluded: bool,
     leaving: bool,
-    moved: Time,
-    looked: Time,
-    /// Of the duties that are looked at, where the next look begins.
-    cursor: usize,
+    last_handoff: Time,
+    last_query: Time,
+    /// Index of the next duty to query.
+    query_cursor: usize,
     pub counts: Counts,
 }
 
-/// FNV-1a of 64 bits.
+/// FNV-1a, 64 bits.
 pub fn fnv1a(bytes: impl Iterator<Item = u8>) -> u64 {
-    let step = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     bytes.fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-/// A number for words in this order: FNV-1a, its bits mixed once more (the finaliser of splitmix64).
+/// Hash of a sequence of words: FNV-1a with the finaliser of splitmix64.
 fn hash(words: &[&str]) -> u64 {
-    let mut sum = fnv1a(words.iter().flat_map(|word| word.bytes().chain([0])));
+    let mut hash = fnv1a(words.iter().flat_map(|word| word.bytes().chain([0])));
     for (shift, factor) in [(30, 0xbf58_476d_1ce4_e5b9), (27, 0x94d0_49bb_1331_11eb_u64)] {
-        sum = (sum ^ (sum >> shift)).wrapping_mul(factor);
+        hash = (hash ^ (hash >> shift)).wrapping_mul(factor);
     }
-    sum ^ (sum >> 31)
+    hash ^ (hash >> 31)
 }
 
 impl Duties {
     pub fn new(settings: Settings, now: Time) -> Duties {
-        let electorate = Electorate::new(&settings.voters);
-        let votes = electorate.voters().contains(&settings.address);
+        let voters = VoterSets::new(&settings.voters);
+        let votes = voters.all_voters().contains(&settings.address);
         let voter = votes.then(|| Voter::new(now, settings.lease, None));
         let duty = |name: &String| Duty { name: name.clone(), ..Duty::default() };
         let duties = settings.duties.iter().map(|name| (hash(&[name]), duty(name))).collect();
         let mut rng = Rand32::new(settings.seed);
-        let (marks, seq) = (electorate.marks(), rng.rand_u32());
+        let (voter_set_checksums, last_seq) = (voters.checksums(), rng.rand_u32());
         Duties {
             settings,
-            electorate,
-            marks,
+            voters,
+            voter_set_checksums,
             voter,
-            beside: false,
+            process_overlap: false,
             rng,
             now,
-            began: now,
-            seq,
+            started_at: now,
+            last_seq,
             duties,
-            there: Vec::new(),
-            there_since: now,
+            present: Vec::new(),
+            present_since: now,
             excluded: false,
             leaving: false,
-            moved: now,
-            looked: now,
-            cursor: 0,
+            last_handoff: now,
+            last_query: now,
+            query_cursor: 0,
             counts: Counts::default(),
         }
     }
 
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
             Event::Start | Event::TimerExpired => {
-                self.tick(out);
-                out.push(Action::SetTimer(now + self.settings.lease.scaled(0.125)));
+                self.tick(actions);
+                actions.push(Action::SetTimer(now + self.settings.lease.scaled(0.125)));
             }
-            Event::MembersChanged { present: there, excluded } => self.crowd(there, excluded, out),
-            Event::MessageReceived { from, message: letter } => {
+            Event::MembersChanged { present, excluded } => self.members_changed(present, excluded, actions),
+            Event::MessageReceived { from, message } => {
                 let (name, address, generation) = (from.name.clone(), from.address, from.generation);
-                self.heard((&name, address, generation), letter, out)
+                self.receive((&name, address, generation), message, actions)
             }
-            Event::ProcessOverlap(beside) => {
-                self.beside = beside;
+            Event::ProcessOverlap(overlap) => {
+                self.process_overlap = overlap;
                 if let Some(voter) = &mut self.voter {
-                    voter.hush(now);
+                    voter.restart(now);
                 }
             }
-            Event::SetPaused { duty, paused } => self.pause(duty, paused, out),
+            Event::SetPaused { duty, paused } => self.set_paused(duty, paused, actions),
             Event::Leave => {
                 self.leaving = true;
-                let held = self.held();
-                self.give(&held, out);
+                let held = self.held_keys();
+                self.release(&held, actions);
             }
         }
     }
 
-    /// The term under which this process may do a duty at this moment: to be asked right before each act.
-    pub fn term(&self, now: Time, duty: &str) -> Option<u64> {
-        self.duties.get(&hash(&[duty])).and_then(|duty| duty.tenure.term(now))
+    /// The term under which this process may perform a duty at this moment: to be checked right before each
+    /// act.
+    pub fn held_term(&self, now: Time, duty: &str) -> Option<u64> {
+        self.duties.get(&hash(&[duty])).and_then(|duty| duty.claim.held_term(now))
     }
 
     pub fn is_configured(&self, duty: &str) -> bool {
@@ -245,226 +257,247 @@
     }
 
     pub fn statuses(&self, now: Time) -> Vec<DutyStatus> {
-        let shown = |duty: &Duty| {
-            let here = duty.tenure.term(now);
-            let known = duty.known.as_ref().filter(|(_, _, until)| now < *until && here.is_none());
+        let status = |duty: &Duty| {
+            let held = duty.claim.held_term(now);
+            let known = duty.known_holder.as_ref().filter(|(_, _, until)| now < *until && held.is_none());
             DutyStatus {
                 name: duty.name.clone(),
-                holder: here
+                holder: held
                     .map(|_| self.settings.name.clone())
                     .or(known.map(|(holder, _, _)| holder.clone())),
-                term: here.or(known.map(|(_, term, _)| *term)).unwrap_or(0),
-                held_here: here.is_some(),
-                remaining: here
-                    .map(|_| duty.tenure.left(now))
-                    .or(known.map(|k| k.2.since(now)))
+                term: held.or(known.map(|(_, term, _)| *term)).unwrap_or(0),
+                held_here: held.is_some(),
+                remaining: held
+                    .map(|_| duty.claim.remaining(now))
+                    .or(known.map(|known| known.2.since(now)))
                     .unwrap_or(Span::ZERO),
                 paused: duty.paused,
             }
         };
-        self.duties.values().map(shown).collect()
+        self.duties.values().map(status).collect()
     }
 
-    fn held(&self) -> Vec<u64> {
-        let held = self.duties.iter().filter(|(_, duty)| duty.acting.is_some());
+    fn held_keys(&self) -> Vec<u64> {
+        let held = self.duties.iter().filter(|(_, duty)| duty.acting_term.is_some());
         held.map(|(key, _)| *key).collect()
     }
 
-    fn part(&mut self, of: f64) -> Span {
-        self.settings.lease.scaled(of * f64::from(self.rng.rand_float()))
+    /// A random time up to this part of a lease.
+    fn jitter(&mut self, max_ratio: f64) -> Span {
+        self.settings.lease.scaled(max_ratio * f64::from(self.rng.rand_float()))
     }
 
-    fn crowd(&mut self, there: Vec<(String, SocketAddr)>, excluded: bool, out: &mut Vec<Action>) {
+    /// Recomputes, by rendezvous hashing, how this member ranks for each duty.
+    fn members_changed(
+        &mut self,
+        present: Vec<(String, SocketAddr)>,
+        excluded: bool,
+        actions: &mut Vec<Action>,
+    ) {
         if excluded && !self.excluded {
-            let held = self.held();
-            self.give(&held, out);
+            let held = self.held_keys();
+            self.release(&held, actions);
         }
         self.excluded = excluded;
-        if there == self.there {
+        if present == self.present {
             return;
         }
-        (self.there, self.there_since) = (there, self.now);
+        (self.present, self.present_since) = (present, self.now);
         for duty in self.duties.values_mut() {
             let weight = |name: &str| hash(&[&duty.name, name]);
             let own = weight(&self.settings.name);
-            let others = self.there.iter().filter(|(name, _)| *name != self.settings.name);
+            let others = self.present.iter().filter(|(name, _)| *name != self.settings.name);
             duty.rank = others.clone().filter(|(name, _)| weight(name) > own).count();
-            duty.first = others.max_by_key(|(name, _)| weight(name)).map(|(_, address)| *address);
+            duty.best_other = others.max_by_key(|(name, _)| weight(name)).map(|(_, address)| *address);
         }
     }
 
-    fn tick(&mut self, out: &mut Vec<Action>) {
+    fn tick(&mut self, actions: &mut Vec<Action>) {
         let (now, lease) = (self.now, self.settings.lease);
         for duty in self.duties.values_mut() {
-            if duty.acting.is_some() && duty.tenure.term(now).is_none() {
+            if duty.acting_term.is_some() && duty.claim.held_term(now).is_none() {
                 self.counts.lost += 1;
-                out.push(Action::Log(format!("duty {} has ended here: no majority renewed it", duty.name)));
-                duty.acting = None;
+                actions
+                    .push(Action::Log(format!("duty {} is lost: no majority renewed its lease", duty.name)));
+                duty.acting_term = None;
             }
         }
-        self.abandon(out);
-        self.give_way(out);
-        let may = now.since(self.began) >= lease.scaled(1.02) && !self.excluded && !self.leaving;
+        self.abandon_minority_requests(actions);
+        self.hand_off_one(actions);
+        let may_acquire = now.since(self.started_at) >= lease.scaled(1.02) && !self.excluded && !self.leaving;
         let wanted: Vec<u64> = self
             .duties
             .iter()
-            .filter(|(_, duty)| match duty.acting {
-                Some(_) => duty.tenure.asked_at().is_none_or(|at| now.since(at) >= lease.scaled(0.3)),
-                None => may && !duty.paused && now >= duty.next,
+            .filter(|(_, duty)| match duty.acting_term {
+                Some(_) => duty.claim.requested_at().is_none_or(|at| now.since(at) >= lease.scaled(0.3)),
+                None => may_acquire && !duty.paused && now >= duty.next_request,
             })
             .map(|(key, _)| *key)
             .collect();
-        for keys in wanted.chunks(ASKED_MOST) {
-            self.seq = self.seq.wrapping_add(1);
+        for keys in wanted.chunks(MAX_DUTIES_PER_MESSAGE) {
+            self.last_seq = self.last_seq.wrapping_add(1);
             let mut duties = Vec::new();
             for key in keys {
-                let again = now + lease.scaled(0.5) + self.part(0.5);
+                let retry_at = now + lease.scaled(0.5) + self.jitter(0.5);
                 let Some(duty) = self.duties.get_mut(key) else { continue };
-                duty.next = again;
-                duties.push((*key, duty.tenure.ask(now, self.seq)));
+                duty.next_request = retry_at;
+                duties.push((*key, duty.claim.start_request(now, self.last_seq)));
             }
-            let letter = self.question(duties);
-            self.ask_all(letter, out);
+            let message = self.request_message(duties);
+            self.send_to_voters(message, actions);
         }
-        self.look(out);
+        self.query_holders(actions);
     }
 
-    /// Gives back what only some voters have granted, so that the one whose turn comes first gets all.
-    fn abandon(&mut self, out: &mut Vec<Action>) {
+    /// Releases what only a minority of voters has granted, so that the best ranked member can get a
+    /// majority.
+    fn abandon_minority_requests(&mut self, actions: &mut Vec<Action>) {
         let (now, lease) = (self.now, self.settings.lease);
-        let mut back = Vec::new();
+        let mut abandoned = Vec::new();
         for (key, duty) in &mut self.duties {
-            if let Some(term) = duty.tenure.abandon(now, lease.scaled(TOGETHER)) {
-                let jitter = f64::from(self.rng.rand_float()) * TURN;
-                duty.next = now + lease.scaled(TURN * duty.rank.min(RANKS) as f64 + jitter);
-                back.push((*key, term));
+            if let Some(term) = duty.claim.abandon_request(now, lease.scaled(REPLY_WINDOW_RATIO)) {
+                let jitter = f64::from(self.rng.rand_float()) * RANK_DELAY_RATIO;
+                duty.next_request =
+                    now + lease.scaled(RANK_DELAY_RATIO * duty.rank.min(MAX_DELAYED_RANKS) as f64 + jitter);
+                abandoned.push((*key, term));
             }
         }
-        for duties in back.chunks(ASKED_MOST) {
-            self.ask_all(DutyMessage::Release { duties: duties.to_vec() }, out);
+        for duties in abandoned.chunks(MAX_DUTIES_PER_MESSAGE) {
+            self.send_to_voters(DutyMessage::Release { duties: duties.to_vec() }, actions);
         }
     }
 
-    fn question(&self, duties: Vec<(u64, u64)>) -> DutyMessage {
-        DutyMessage::Ask {
-            seq: self.seq,
+    fn request_message(&self, duties: Vec<(u64, u64)>) -> DutyMessage {
+        DutyMessage::Request {
+            seq: self.last_seq,
             lease_ms: self.settings.lease.ms() as u32,
-            marks: self.marks.clone(),
+            voter_set_checksums: self.voter_set_checksums.clone(),
             duties,
         }
     }
 
-    /// Now and then each asks one voter who holds what, for staff, and to know when to ask.
-    fn look(&mut self, out: &mut Vec<Action>) {
-        let every = self.settings.lease.scaled((self.there.len() as f64 / LOOKED_AT).max(1.0));
-        if self.now.since(self.looked) < every || self.excluded {
+    /// Queries the holders of other duties at one random voter, to show them to operators and to schedule
+    /// requests.
+    fn query_holders(&mut self, actions: &mut Vec<Action>) {
+        let interval =
+            self.settings.lease.scaled((self.present.len() as f64 / MEMBERS_QUERYING_EACH_LEASE).max(1.0));
+        if self.now.since(self.last_query) < interval || self.excluded {
             return;
         }
-        self.looked = self.now;
+        self.last_query = self.now;
         let others: Vec<u64> =
-            self.duties.iter().filter(|(_, duty)| duty.acting.is_none()).map(|(key, _)| *key).collect();
-        let voters: Vec<SocketAddr> = self.electorate.voters().into_iter().collect();
+            self.duties.iter().filter(|(_, duty)| duty.acting_term.is_none()).map(|(key, _)| *key).collect();
+        let voters: Vec<SocketAddr> = self.voters.all_voters().into_iter().collect();
         if others.is_empty() || voters.is_empty() {
             return;
         }
         let to = voters[self.rng.rand_range(0..voters.len() as u32) as usize];
-        self.cursor = if self.cursor >= others.len() { 0 } else { self.cursor };
-        let some: Vec<(u64, u64)> =
-            others[self.cursor..].iter().take(ASKED_MOST).map(|key| (*key, 0)).collect();
-        self.cursor += some.len();
-        self.seq = self.seq.wrapping_add(1);
-        let letter = self.question(some);
-        out.push(Action::Send { to, message: letter });
+        self.query_cursor = if self.query_cursor >= others.len() { 0 } else { self.query_cursor };
+        let queried: Vec<(u64, u64)> =
+            others[self.query_cursor..].iter().take(MAX_DUTIES_PER_MESSAGE).map(|key| (*key, 0)).collect();
+        self.query_cursor += queried.len();
+        self.last_seq = self.last_seq.wrapping_add(1);
+        let message = self.request_message(queried);
+        actions.push(Action::Send { to, message });
     }
 
-    fn ask_all(&mut self, letter: DutyMessage, out: &mut Vec<Action>) {
-        for voter in self.electorate.voters() {
-            // Also to itself by the network: guards against one that wrongly tells a voter's address voting for itself.
-            out.push(Action::Send { to: voter, message: letter.clone() });
+    fn send_to_voters(&mut self, message: DutyMessage, actions: &mut Vec<Action>) {
+        for voter in self.voters.all_voters() {
+            // A message to itself goes over the network too, so that a process that wrongly advertises a
+            // voter's address does not vote for itself.
+            actions.push(Action::Send { to: voter, message: message.clone() });
         }
     }
 
-    /// Gives a duty to the one that comes first, once that one has been there for a while, a few at a time.
-    fn give_way(&mut self, out: &mut Vec<Action>) {
+    /// Hands off one duty to a better ranked member, once the set of present members has been stable for two
+    /// leases.
+    fn hand_off_one(&mut self, actions: &mut Vec<Action>) {
         let (now, lease) = (self.now, self.settings.lease);
-        if now.since(self.there_since) < lease.scaled(2.0) || now.since(self.moved) < MOVE {
+        if now.since(self.present_since) < lease.scaled(2.0)
+            || now.since(self.last_handoff) < HANDOFF_INTERVAL
+        {
             return;
         }
-        let not_lately = |duty: &Duty| duty.given.is_none_or(|at| now.since(at) >= GIVEN);
-        let one =
-            self.duties.iter().find(|(_, duty)| duty.acting.is_some() && duty.rank > 0 && not_lately(duty));
-        if let Some(key) = one.map(|(key, _)| *key) {
-            self.moved = now;
+        let not_recently =
+            |duty: &Duty| duty.handed_off_at.is_none_or(|at| now.since(at) >= REPEATED_HANDOFF_INTERVAL);
+        let candidate = self
+            .duties
+            .iter()
+            .find(|(_, duty)| duty.acting_term.is_some() && duty.rank > 0 && not_recently(duty));
+        if let Some(key) = candidate.map(|(key, _)| *key) {
+            self.last_handoff = now;
             if let Some(duty) = self.duties.get_mut(&key) {
-                duty.given = Some(now);
+                duty.handed_off_at = Some(now);
             }
-            self.give(&[key], out);
+            self.release(&[key], actions);
         }
     }
 
-    /// Stops acting first, then gives back, then says so to the one that comes next.
-    fn give(&mut self, keys: &[u64], out: &mut Vec<Action>) {
-        let after = self.now + self.settings.lease.scaled(0.75) + self.part(0.5);
-        let mut free: BTreeMap<SocketAddr, Vec<u64>> = BTreeMap::new();
-        let mut back = Vec::new();
+    /// Stops acting first, then releases the leases, then offers the duties to the best ranked other members.
+    fn release(&mut self, keys: &[u64], actions: &mut Vec<Action>) {
+        let retry_at = self.now + self.settings.lease.scaled(0.75) + self.jitter(0.5);
+        let mut offers: BTreeMap<SocketAddr, Vec<u64>> = BTreeMap::new();
+        let mut released = Vec::new();
         for key in keys {
             let Some(duty) = self.duties.get_mut(key) else { continue };
-            duty.next = after;
-            duty.acting = None;
-            let Some(term) = duty.tenure.stop() else { continue };
-            back.push((*key, term));
+            duty.next_request = retry_at;
+            duty.acting_term = None;
+            let Some(term) = duty.claim.stop() else { continue };
+            released.push((*key, term));
             self.counts.released += 1;
-            out.push(Action::Log(format!("duty {} is given back, term {term}", duty.name)));
-            if let Some(first) = duty.first {
-                free.entry(first).or_default().push(*key);
+            actions.push(Action::Log(format!("duty {} is released, term {term}", duty.name)));
+            if let Some(best_other) = duty.best_other {
+                offers.entry(best_other).or_default().push(*key);
             }
         }
-        for duties in back.chunks(ASKED_MOST) {
-            self.ask_all(DutyMessage::Release { duties: duties.to_vec() }, out);
+        for duties in released.chunks(MAX_DUTIES_PER_MESSAGE) {
+            self.send_to_voters(DutyMessage::Release { duties: duties.to_vec() }, actions);
         }
-        for (to, keys) in free {
-            for duties in keys.chunks(ASKED_MOST) {
-                out.push(Action::Send { to, message: DutyMessage::Free { duties: duties.to_vec() } });
+        for (to, keys) in offers {
+            for duties in keys.chunks(MAX_DUTIES_PER_MESSAGE) {
+                actions.push(Action::Send { to, message: DutyMessage::Offer { duties: duties.to_vec() } });
             }
         }
     }
 
-    fn pause(&mut self, name: &str, paused: bool, out: &mut Vec<Action>) {
+    fn set_paused(&mut self, name: &str, paused: bool, actions: &mut Vec<Action>) {
         let key = hash(&[name]);
         let Some(duty) = self.duties.get_mut(&key) else { return };
-        (duty.paused, duty.next) = (paused, self.now);
-        out.push(Action::Log(format!(
+        (duty.paused, duty.next_request) = (paused, self.now);
+        actions.push(Action::Log(format!(
             "duty {name} is {} here",
             if paused { "paused" } else { "allowed again" }
         )));
-        if paused && duty.acting.is_some() {
-            self.give(&[key], out);
+        if paused && duty.acting_term.is_some() {
+            self.release(&[key], actions);
         }
     }
 
-    fn heard(&mut self, from: (&str, SocketAddr, u64), letter: DutyMessage, out: &mut Vec<Action>) {
+    fn receive(&mut self, from: (&str, SocketAddr, u64), message: DutyMessage, actions: &mut Vec<Action>) {
         let (name, address, generation) = from;
-        match letter {
-            DutyMessage::Ask { seq, lease_ms, marks, duties } => {
-                let Some(voter) = self.voter.as_mut().filter(|_| !self.beside) else { return };
-                if !marks.iter().any(|mark| self.marks.contains(mark)) {
+        match message {
+            DutyMessage::Request { seq, lease_ms, voter_set_checksums, duties } => {
+                let Some(voter) = self.voter.as_mut().filter(|_| !self.process_overlap) else { return };
+                if !voter_set_checksums.iter().any(|checksum| self.voter_set_checksums.contains(checksum)) {
                     self.counts.voter_mismatches += 1;
                     return;
                 }
                 let (now, lease) = (self.now, Span::from_millis(lease_ms.into()));
-                let answers: Vec<Answer> = duties
+                let replies: Vec<LeaseReply> = duties
                     .into_iter()
-                    .filter_map(|(duty, term)| voter.ask(now, duty, term, (generation, name), lease))
+                    .filter_map(|(duty, term)| {
+                        voter.handle_request(now, duty, term, (generation, name), lease)
+                    })
                     .collect();
-                for answers in answers.chunks(ANSWERED_MOST) {
-                    let letter = DutyMessage::Answer { seq, answers: answers.to_vec() };
-                    out.push(Action::Send { to: address, message: letter });
+                for replies in replies.chunks(MAX_REPLIES_PER_MESSAGE) {
+                    let message = DutyMessage::Reply { seq, replies: replies.to_vec() };
+                    actions.push(Action::Send { to: address, message });
                 }
             }
-            DutyMessage::Answer { seq, answers } if self.electorate.voters().contains(&address) => {
-                answers.into_iter().for_each(|answer| self.answered(seq, address, answer, out));
+            DutyMessage::Reply { seq, replies } if self.voters.all_voters().contains(&address) => {
+                replies.into_iter().for_each(|reply| self.receive_reply(seq, address, reply, actions));
             }
-            DutyMessage::Answer { .. } => {}
+            DutyMessage::Reply { .. } => {}
             DutyMessage::Release { duties } => {
                 for (duty, term) in duties {
                     if let Some(voter) = &mut self.voter {
@@ -472,41 +505,42 @@
                     }
                 }
             }
-            DutyMessage::Free { duties } => {
+            DutyMessage::Offer { duties } => {
                 for key in duties {
                     if let Some(duty) = self.duties.get_mut(&key) {
-                        duty.next = self.now;
+                        duty.next_request = self.now;
                     }
                 }
-                self.tick(out);
+                self.tick(actions);
             }
         }
     }
 
-    fn answered(&mut self, seq: u32, voter: SocketAddr, answer: Answer, out: &mut Vec<Action>) {
+    fn receive_reply(&mut self, seq: u32, voter: SocketAddr, reply: LeaseReply, actions: &mut Vec<Action>) {
         let (now, lease) = (self.now, self.settings.lease);
-        let jitter = self.part(1.0 / 16.0);
-        let Some(duty) = self.duties.get_mut(&answer.duty) else { return };
-        if answer.granted {
-            let began = duty.tenure.granted(now, (seq, answer.term), voter, &self.electorate, lease, None);
-            if began {
-                (duty.acting, duty.known) = (Some(answer.term), None);
+        let jitter = self.jitter(1.0 / 16.0);
+        let Some(duty) = self.duties.get_mut(&reply.duty) else { return };
+        if reply.granted {
+            let acquired = duty.claim.record_grant(now, (seq, reply.term), voter, &self.voters, lease, None);
+            if acquired {
+                (duty.acting_term, duty.known_holder) = (Some(reply.term), None);
                 self.counts.acquired += 1;
-                out.push(Action::Log(format!("duty {} is held here, term {}", duty.name, answer.term)));
+                actions.push(Action::Log(format!("duty {} is held here, term {}", duty.name, reply.term)));
             }
             return;
         }
-        duty.tenure.refused(answer.term);
-        let turn = lease.scaled(TURN * duty.rank.min(RANKS) as f64);
-        let left = Span::from_millis(answer.left_ms.into());
-        let held = !answer.holder.is_empty();
+        duty.claim.record_refusal(reply.term);
+        let rank_delay = lease.scaled(RANK_DELAY_RATIO * duty.rank.min(MAX_DELAYED_RANKS) as f64);
+        let remaining = Span::from_millis(reply.remaining_ms.into());
+        let held = !reply.holder.is_empty();
         if held {
-            duty.known = Some((answer.holder, answer.term, now + left));
+            duty.known_holder = Some((reply.holder, reply.term, now + remaining));
         }
-        if duty.acting.is_none() {
-            // Who comes first asks first: guards against all asking in one moment, and none having a majority.
-            let at = now + left + turn + jitter;
-            duty.next = if held { at } else { duty.next.min(at) };
+        if duty.acting_term.is_none() {
+            // The best ranked member requests first: if all requested at the same moment, none might get a
+            // majority.
+            let at = now + remaining + rank_delay + jitter;
+            duty.next_request = if held { at } else { duty.next_request.min(at) };
         }
     }
 }
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -1,6 +1,7 @@
-//! A duty that one holds for a time which a majority of voters has granted: what a voter remembers, and what the one that
-//! holds it may rely on. Nothing here rests on clocks that agree, only on spans that differ by at most [`DRIFT`]; the
-//! argument is in `docs/design/duties.md`. After PaxosLease (Trencseni, Gazso, Reinhardt 2012), with terms that fence.
+//! Leases on duties, granted by a majority of voters: the state of a voter, and that of a process that
+//! requests or holds a lease. Safety does not depend on synchronised clocks, only on clock rates that differ
+//! from true time by at most [`MAX_CLOCK_DRIFT_RATIO`]; `docs/design/duties.md` has the argument. It follows
+//! PaxosLease (Trencseni, Gazso, Reinhardt 2012), with terms that serve as fencing tokens.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,270 +9,285 @@
 use serde::{Deserialize, Serialize};
 use sparlug::time::{Span, Time};
 
-/// How much faster or slower than true time any clock runs, at the most.
-pub const DRIFT: f64 = 0.01;
-/// The part of a lease in which its holder acts, counted from when it asked: of the slowest clock against the fastest,
-/// (1 - DRIFT) / (1 + DRIFT) is 0.9802.
-const KEPT: f64 = 1.0 - 2.0 * DRIFT;
-/// A voter's grant ends itself; what was granted of old is kept so long for its term.
-const REMEMBERED: usize = 4096;
+/// How much faster or slower than true time any clock may run.
+pub const MAX_CLOCK_DRIFT_RATIO: f64 = 0.01;
+/// The part of a lease in which its holder may act, counted from its request: for the slowest clock against
+/// the fastest one, (1 - MAX_CLOCK_DRIFT_RATIO) / (1 + MAX_CLOCK_DRIFT_RATIO) is 0.9802.
+const USABLE_LEASE_RATIO: f64 = 1.0 - 2.0 * MAX_CLOCK_DRIFT_RATIO;
+/// Limit on duties that a voter remembers. A grant expires by itself, but its term is kept after that.
+const MAX_REMEMBERED_DUTIES: usize = 4096;
 
-/// A deliberate mistake, which the check must find; none outside of tests.
+/// A deliberate defect that the tests must find; unused outside of tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SeededDefect {
-    /// A voter that has restarted votes at once.
+    /// A restarted voter votes at once.
     NoSilence,
-    /// The holder counts its lease from the answer.
-    FromAnswer,
-    /// The holder acts for the whole lease by its own clock.
+    /// The holder counts its lease from the reply instead of the request.
+    LeaseFromReply,
+    /// The holder acts for the whole lease by its own clock, without the margin for clock drift.
     NoMargin,
 }
 
 /// What one voter has granted for one duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Granted {
+struct Grant {
     term: u64,
-    /// The life of the process that holds it: another life of the same name is another holder.
+    /// The generation of the holding process: a later process of the same name is another holder.
     holder: u64,
     name: String,
-    /// By the voter's clock; `None` once it was given back.
+    /// Expiry by the voter's clock; `None` once the lease was released.
     until: Option<Time>,
 }
 
-/// A voter's answer about one duty.
+/// A voter's reply about one duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct LeaseReply {
     pub duty: u64,
     pub granted: bool,
-    /// The one granted, or the highest that this voter has granted.
+    /// The granted term, or else the highest term that this voter has granted.
     pub term: u64,
-    /// Who holds it, where somebody does, and for how much longer, in milliseconds.
+    /// The current holder, empty if there is none, and for how much longer it holds the duty.
     pub holder: String,
-    pub left_ms: u32,
+    pub remaining_ms: u32,
 }
 
-/// The memory of a voter. It has no disk: a process that begins keeps silent for the longest lease, so that whatever an
-/// earlier life of it granted has ended before it speaks.
+/// The memory of a voter. It is not persisted: a voter that starts keeps silent for the longest lease, so
+/// that whatever an earlier process granted in its place has expired before it votes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    lease: Span,
+    max_lease: Span,
     silent_until: Time,
-    /// Terms that it grants are above this: the clock, in milliseconds, at its start.
-    floor: u64,
-    granted: BTreeMap<u64, Granted>,
+    /// Granted terms are above this: the clock at the voter's start, in milliseconds.
+    min_term: u64,
+    grants: BTreeMap<u64, Grant>,
 }
 
 impl Voter {
-    pub fn new(now: Time, lease: Span, seeded_defect: Option<SeededDefect>) -> Voter {
-        let silence = if seeded_defect == Some(SeededDefect::NoSilence) { Span::ZERO } else { lease };
-        let floor = now.since(Time::ORIGIN).ms() as u64;
-        Voter { lease, silent_until: now + silence, floor, granted: BTreeMap::new() }
+    pub fn new(now: Time, max_lease: Span, seeded_defect: Option<SeededDefect>) -> Voter {
+        let silence = if seeded_defect == Some(SeededDefect::NoSilence) { Span::ZERO } else { max_lease };
+        let min_term = now.since(Time::ORIGIN).ms() as u64;
+        Voter { max_lease, silent_until: now + silence, min_term, grants: BTreeMap::new() }
     }
 
-    /// Another process may have voted in its place until now: it begins anew, and grants no term that may have been granted.
-    pub fn hush(&mut self, now: Time) {
-        let highest = self.granted.values().map(|held| held.term).fold(self.floor, u64::max);
-        *self = Voter::new(now, self.lease, None);
-        self.floor = self.floor.max(highest);
+    /// Restarts the voter because another process may have voted in its place until now; it does not grant
+    /// terms that may have been granted already.
+    pub fn restart(&mut self, now: Time) {
+        let highest = self.grants.values().map(|grant| grant.term).fold(self.min_term, u64::max);
+        *self = Voter::new(now, self.max_lease, None);
+        self.min_term = self.min_term.max(highest);
     }
 
-    /// When something of its memory ends, by its clock.
-    pub fn ends(&self) -> Vec<Time> {
-        let grants = self.granted.values().filter_map(|held| held.until);
+    /// When its grants expire and its silence ends, by its own clock.
+    pub fn expiry_times(&self) -> Vec<Time> {
+        let grants = self.grants.values().filter_map(|grant| grant.until);
         grants.chain([self.silent_until]).collect()
     }
 
-    /// One asks for a duty under a term, or looks who has it, with the term 0.
-    pub fn ask(
+    /// Handles a request for a duty under a term, or with the term 0 a query for its holder. A silent voter
+    /// does not reply.
+    pub fn handle_request(
         &mut self,
         now: Time,
         duty: u64,
         term: u64,
         holder: (u64, &str),
         lease: Span,
-    ) -> Option<Answer> {
+    ) -> Option<LeaseReply> {
         if now < self.silent_until {
             return None;
         }
-        let held = self.granted.get(&duty);
-        let highest = held.map_or(self.floor, |held| held.term);
-        let current = held.filter(|held| held.until.is_some_and(|until| now < until));
-        // Its own again, or a new term for one that nobody has. What was given back is not taken up under its term.
-        let fits = match held {
-            Some(held) if held.term == term => held.holder == holder.0 && held.until.is_some(),
-            _ => term > highest && current.is_none_or(|held| held.holder == holder.0),
+        let grant = self.grants.get(&duty);
+        let highest = grant.map_or(self.min_term, |grant| grant.term);
+        let current = grant.filter(|grant| grant.until.is_some_and(|until| now < until));
+        // A holder may renew its own term, and a new term is granted while nobody else holds the duty. A
+        // released term can't be renewed.
+        let grantable = match grant {
+            Some(grant) if grant.term == term => grant.holder == holder.0 && grant.until.is_some(),
+            _ => term > highest && current.is_none_or(|grant| grant.holder == holder.0),
         };
-        let room = held.is_some() || self.granted.len() < REMEMBERED;
-        if term == 0 || !fits || lease > self.lease || !room {
-            let left =
-                current.map_or(0.0, |held| held.until.map_or(Span::ZERO, |until| until.since(now)).ms());
-            let name = current.map_or(String::new(), |held| held.name.clone());
-            return Some(Answer {
+        let has_capacity = grant.is_some() || self.grants.len() < MAX_REMEMBERED_DUTIES;
+        if term == 0 || !grantable || lease > self.max_lease || !has_capacity {
+            let remaining =
+                current.map_or(0.0, |grant| grant.until.map_or(Span::ZERO, |until| until.since(now)).ms());
+            let name = current.map_or(String::new(), |grant| grant.name.clone());
+            return Some(LeaseReply {
                 duty,
                 granted: false,
                 term: highest,
                 holder: name,
-                left_ms: left.ceil() as u32,
+                remaining_ms: remaining.ceil() as u32,
             });
         }
         let (name, until) = (holder.1.to_string(), now + lease);
-        let answer = Answer { duty, granted: true, term, holder: name.clone(), left_ms: lease.ms() as u32 };
-        self.granted.insert(duty, Granted { term, holder: holder.0, name, until: Some(until) });
-        Some(answer)
+        let reply =
+            LeaseReply { duty, granted: true, term, holder: name.clone(), remaining_ms: lease.ms() as u32 };
+        self.grants.insert(duty, Grant { term, holder: holder.0, name, until: Some(until) });
+        Some(reply)
     }
 
-    /// Its holder, and nobody else, gives a duty back; the term is remembered.
+    /// Releases a duty, on behalf of its holder only; the term is remembered.
     pub fn release(&mut self, duty: u64, term: u64, holder: u64) {
-        if let Some(held) = self.granted.get_mut(&duty) {
-            if held.term == term && held.holder == holder {
-                held.until = None;
+        if let Some(grant) = self.grants.get_mut(&duty) {
+            if grant.term == term && grant.holder == holder {
+                grant.until = None;
             }
         }
     }
 }
 
-/// The voters: of each set a majority has to grant. Two sets while staff change from one to the other.
+/// The voters: a majority of each set has to grant. There are two sets while operators change from one to the
+/// other (joint configuration).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Electorate {
+pub struct VoterSets {
     sets: Vec<BTreeSet<SocketAddr>>,
 }
 
-impl Electorate {
-    pub fn new(sets: &[Vec<SocketAddr>]) -> Electorate {
+impl VoterSets {
+    pub fn new(sets: &[Vec<SocketAddr>]) -> VoterSets {
         let sets = sets.iter().filter(|set| !set.is_empty());
-        Electorate { sets: sets.map(|set| set.iter().copied().collect()).collect() }
+        VoterSets { sets: sets.map(|set| set.iter().copied().collect()).collect() }
     }
 
-    /// Whether these are enough of each set. Of no voters nobody is enough.
-    pub fn carried(&self, by: &BTreeSet<SocketAddr>) -> bool {
-        let most = |set: &BTreeSet<SocketAddr>| set.intersection(by).count() * 2 > set.len();
-        !self.sets.is_empty() && self.sets.iter().all(most)
+    /// Whether these voters are a majority of each set. Without voters there is no quorum.
+    pub fn is_quorum(&self, granted_by: &BTreeSet<SocketAddr>) -> bool {
+        let majority = |set: &BTreeSet<SocketAddr>| set.intersection(granted_by).count() * 2 > set.len();
+        !self.sets.is_empty() && self.sets.iter().all(majority)
     }
 
-    pub fn voters(&self) -> BTreeSet<SocketAddr> {
+    pub fn all_voters(&self) -> BTreeSet<SocketAddr> {
         self.sets.iter().flatten().copied().collect()
     }
 
-    /// A number for each set: a voter answers only who shares one with it.
-    pub fn marks(&self) -> Vec<u32> {
-        let mark = |set: &BTreeSet<SocketAddr>| {
+    /// A checksum of each set: a voter replies only to processes that share at least one set with it.
+    pub fn checksums(&self) -> Vec<u32> {
+        let checksum = |set: &BTreeSet<SocketAddr>| {
             let mut sum = crc32fast::Hasher::new();
             set.iter().for_each(|voter| sum.update(voter.to_string().as_bytes()));
             sum.finalize()
         };
-        self.sets.iter().map(mark).collect()
+        self.sets.iter().map(checksum).collect()
     }
 }
 
-/// A question that is out.
+/// An outstanding request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Asked {
+struct Request {
     seq: u32,
-    at: Time,
-    granted: BTreeSet<SocketAddr>,
+    sent_at: Time,
+    granted_by: BTreeSet<SocketAddr>,
 }
 
-/// What the one that wants a duty knows of it.
+/// The state of one process's claim to the lease on a duty, whether it holds the lease or not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Tenure {
+pub struct LeaseClaim {
     term: u64,
-    /// Until when it may act, by its own clock; looked at right before each act.
+    /// Until when it may act, by its own clock; to be checked right before each act.
     until: Option<Time>,
-    asked: Option<Asked>,
-    /// The highest term that anybody has told it.
-    highest: u64,
+    request: Option<Request>,
+    /// The highest term that any voter has reported.
+    highest_seen: u64,
 }
 
-impl Tenure {
-    /// The term under which it may act at this moment.
-    pub fn term(&self, now: Time) -> Option<u64> {
+impl LeaseClaim {
+    /// The term under which the process may act at this moment.
+    pub fn held_term(&self, now: Time) -> Option<u64> {
         self.until.filter(|until| now < *until).map(|_| self.term)
     }
 
-    /// When it ends, by the holder's clock, unless it is renewed.
-    pub fn ends(&self) -> Option<Time> {
+    /// When the lease expires by the holder's clock unless it is renewed.
+    pub fn expires_at(&self) -> Option<Time> {
         self.until
     }
 
-    pub fn left(&self, now: Time) -> Span {
+    pub fn remaining(&self, now: Time) -> Span {
         self.until.map_or(Span::ZERO, |until| until.since(now))
     }
 
-    /// When it last asked.
-    pub fn asked_at(&self) -> Option<Time> {
-        self.asked.as_ref().map(|asked| asked.at)
+    /// When the latest request was sent.
+    pub fn requested_at(&self) -> Option<Time> {
+        self.request.as_ref().map(|request| request.sent_at)
     }
 
-    /// Begins a question: the same term while it holds the duty, else one above all that it has heard of.
-    pub fn ask(&mut self, now: Time, seq: u32) -> u64 {
-        if self.term(now).is_none() {
+    /// Starts a request and returns its term: the same term while the duty is held, else one above all terms
+    /// seen so far.
+    pub fn start_request(&mut self, now: Time, seq: u32) -> u64 {
+        if self.held_term(now).is_none() {
             let clock = now.since(Time::ORIGIN).ms() as u64;
             self.until = None;
-            self.term = self.term.max(self.highest).max(clock) + 1;
+            self.term = self.term.max(self.highest_seen).max(clock) + 1;
         }
-        self.asked = Some(Asked { seq, at: now, granted: BTreeSet::new() });
+        self.request = Some(Request { seq, sent_at: now, granted_by: BTreeSet::new() });
         self.term
     }
 
-    /// A voter has granted the question of this number; tells whether the duty is held from now on and was not before.
-    pub fn granted(
+    /// Records that a voter granted the request with this number; returns whether the duty has just become
+    /// held.
+    pub fn record_grant(
         &mut self,
         now: Time,
         (seq, term): (u32, u64),
         voter: SocketAddr,
-        voters: &Electorate,
+        voters: &VoterSets,
         lease: Span,
         seeded_defect: Option<SeededDefect>,
     ) -> bool {
-        let before = self.term(now).is_some();
-        let Some(asked) = self.asked.as_mut().filter(|asked| asked.seq == seq && term == self.term) else {
+        let held_before = self.held_term(now).is_some();
+        let Some(request) = self.request.as_mut().filter(|request| request.seq == seq && term == self.term)
+        else {
             return false;
         };
-        asked.granted.insert(voter);
-        if !voters.carried(&asked.granted) {
+        request.granted_by.insert(voter);
+        if !voters.is_quorum(&request.granted_by) {
             return false;
         }
-        let kept = if seeded_defect == Some(SeededDefect::NoMargin) { lease } else { lease.scaled(KEPT) };
-        let from = if seeded_defect == Some(SeededDefect::FromAnswer) { now } else { asked.at };
-        let until = from + kept;
-        self.until = Some(self.until.map_or(until, |held| held.max(until)));
-        !before && self.term(now).is_some()
+        let usable = if seeded_defect == Some(SeededDefect::NoMargin) {
+            lease
+        } else {
+            lease.scaled(USABLE_LEASE_RATIO)
+        };
+        let start = if seeded_defect == Some(SeededDefect::LeaseFromReply) { now } else { request.sent_at };
+        let until = start + usable;
+        self.until = Some(self.until.map_or(until, |previous| previous.max(until)));
+        !held_before && self.held_term(now).is_some()
     }
 
-    /// A voter has another holder, or has granted a higher term.
-    pub fn refused(&mut self, term: u64) {
-        self.highest = self.highest.max(term);
+    /// Records that a voter has another holder or has granted a higher term.
+    pub fn record_refusal(&mut self, term: u64) {
+        self.highest_seen = self.highest_seen.max(term);
     }
 
-    /// Some voters have granted the last question, and for so long no majority has come of it: the term that is to be given
-    /// back. Guards against two that have half of the voters each, and wait for each other's grants to end.
-    pub fn abandon(&mut self, now: Time, after: Span) -> Option<u64> {
-        if self.term(now).is_some() {
+    /// Abandons a request that only a minority has granted for the time `after`, and returns the term to
+    /// release. Without this, two processes with half of the votes each would wait for each other's grants to
+    /// expire.
+    pub fn abandon_request(&mut self, now: Time, after: Span) -> Option<u64> {
+        if self.held_term(now).is_some() {
             return None;
         }
-        let stale = |asked: &mut Asked| now.since(asked.at) >= after && !asked.granted.is_empty();
-        self.asked.take_if(stale).map(|_| self.term)
+        let stale =
+            |request: &mut Request| now.since(request.sent_at) >= after && !request.granted_by.is_empty();
+        self.request.take_if(stale).map(|_| self.term)
     }
 
-    /// Acts no more, and says under which term it did.
+    /// Stops acting, and returns the term under which the duty was held.
     pub fn stop(&mut self) -> Option<u64> {
-        self.asked = None;
+        self.request = None;
         self.until.take().map(|_| self.term)
     }
 }
 
-/// What one that takes acts keeps: the highest term of each duty. An act under a lower one is passed over.
+/// Fencing for the receiver of a holder's acts: it keeps the highest term seen per duty and rejects acts
+/// under lower ones.
 #[derive(Clone, Debug, Default)]
 pub struct Fence {
     highest: BTreeMap<u64, u64>,
-    pub passed_over: u64,
+    pub rejected: u64,
 }
 
 impl Fence {
-    pub fn takes(&mut self, duty: u64, term: u64) -> bool {
+    pub fn accepts(&mut self, duty: u64, term: u64) -> bool {
         let highest = self.highest.entry(duty).or_insert(term);
         if term < *highest {
-            self.passed_over += 1;
+            self.rejected += 1;
             return false;
         }
         *highest = term;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the proxies of a tier are to each other. Every part is a state machine without input or output: it is handed
-//! events with the time at which they came, and appends what is to be done. `docs/design/fleet.md` says why it is as
-//! it is, and on what each of its properties rests.
+//! Membership and leases among the proxies of one tier. Each module is a state machine without input or
+//! output: it takes events together with the time at which they occur, and appends the resulting actions to a
+//! list. The design and the assumptions behind each property are described in `docs/design/fleet.md`.
 
 pub mod duties;
 pub mod leases;
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -1,360 +1,429 @@
-//! Coming in and finding each other again: joining by seeds, whole tables now and then, reaching for those that are held
-//! dead; leaving; and what becomes of two that claim one name or address.
+//! How a member joins, exchanges its full state with others (anti-entropy), reconnects to members that were
+//! declared dead, and leaves; and how conflicts between two processes with one name or address are resolved.
 
 use std::net::SocketAddr;
 
 use sparlug::time::Span;
 
-use crate::membership::{Action, Due, Membership, BEAT};
-use crate::wire::{pieces, Body, Entry, State};
+use crate::membership::{Action, Membership, TimerEvent, PROBE_INTERVAL};
+use crate::wire::{split_records, Body, MemberRecord, MemberState};
 
-const EXCHANGE: Span = Span::from_millis(10_000); // between two whole tables, in a fleet of up to 32
-const REACH: Span = Span::from_millis(1000);
-const JOIN: Span = Span::from_millis(500);
-const JOIN_DOUBLINGS: u32 = 4;
-const JOIN_TO: usize = 3; // seeds at a time
-const SETTLE: Span = Span::from_millis(300); // until it announces itself, if nobody answers
-const CHALLENGE: Span = Span::from_millis(400); // for an answer to whether another process is there
-const CHALLENGES: u32 = 3;
-const OUTSIDE: Span = Span::from_millis(5000); // between two looks whether a claim is still there
-const LEAVE_TO: usize = 8;
+const STATE_EXCHANGE_INTERVAL: Span = Span::from_millis(10_000); // in a fleet of up to 32 members
+const RECONNECT_INTERVAL: Span = Span::from_millis(1000);
+const JOIN_RETRY_INTERVAL: Span = Span::from_millis(500);
+const MAX_JOIN_BACKOFF_DOUBLINGS: u32 = 4;
+const JOIN_FANOUT: usize = 3; // seeds per attempt
+const ANNOUNCE_DELAY: Span = Span::from_millis(300); // if no seed answers
+const CHALLENGE_TIMEOUT: Span = Span::from_millis(400);
+const CHALLENGE_ATTEMPTS: u32 = 3;
+const EXCLUDED_CHALLENGE_INTERVAL: Span = Span::from_millis(5000);
+const LEAVE_FANOUT: usize = 8;
 
-/// Another process that has the own name or address.
+/// A conflict with another process that uses this process's name or address.
 #[derive(Debug)]
-pub(crate) struct Claim {
-    other: Entry,
+pub(crate) struct IdentityConflict {
+    other: MemberRecord,
     seq: u32,
-    asked: u32,
-    /// It has the own address under another name; then who is reached there counts, and only if both are, who is older.
-    address: bool,
-    /// Of a claim on the address, since it was last judged: the other one has answered there; this one's own ping, sent
-    /// there, has come back to it.
+    attempts: u32,
+    /// The other process advertises this process's address under another name. The process that is reached at
+    /// that address wins; if both are, the older one wins.
+    over_address: bool,
+    /// For a conflict over the address, since its last evaluation: the other process has answered at that
+    /// address; this process's own ping, sent to that address, has come back to it.
     answered: bool,
     echoed: bool,
-    /// It is there, and goes before: this one takes no part.
-    outside: bool,
+    /// The other process is running and wins: this one does not take part in the fleet.
+    excludes_local: bool,
 }
 
 impl Membership {
     pub(crate) fn start(&mut self) {
-        self.set(Span::ZERO, Due::Join);
-        self.set(SETTLE, Due::Announce);
-        // Beats of all that start together are spread.
-        let first = BEAT.scaled(f64::from(self.rng.rand_float()));
-        self.set(first, Due::Beat);
-        self.set(first + REACH, Due::Reach);
-        let exchange = EXCHANGE.scaled(0.5 + f64::from(self.rng.rand_float()));
-        self.set(exchange, Due::Exchange);
+        self.set_timer(Span::ZERO, TimerEvent::Join);
+        self.set_timer(ANNOUNCE_DELAY, TimerEvent::Announce);
+        // Spreads the probes of members that start at the same time.
+        let first = PROBE_INTERVAL.scaled(f64::from(self.rng.rand_float()));
+        self.set_timer(first, TimerEvent::Probe);
+        self.set_timer(first + RECONNECT_INTERVAL, TimerEvent::Reconnect);
+        let exchange = STATE_EXCHANGE_INTERVAL.scaled(0.5 + f64::from(self.rng.rand_float()));
+        self.set_timer(exchange, TimerEvent::StateExchange);
     }
 
     pub(crate) fn is_excluded(&self) -> bool {
-        self.claim.as_ref().is_some_and(|claim| claim.outside)
+        self.conflict.as_ref().is_some_and(|conflict| conflict.excludes_local)
     }
 
-    fn seeds(&self) -> Vec<SocketAddr> {
-        let own = self.me.address;
+    fn other_seeds(&self) -> Vec<SocketAddr> {
+        let own = self.local.address;
         self.settings.seeds.iter().copied().filter(|seed| *seed != own).collect()
     }
 
-    /// Asks some seeds for what they know, until one has answered.
-    pub(crate) fn join(&mut self, out: &mut Vec<Action>) {
-        let mut seeds = self.seeds();
+    /// Requests the state of some seeds, with exponential backoff until one has answered.
+    pub(crate) fn join(&mut self, actions: &mut Vec<Action>) {
+        let mut seeds = self.other_seeds();
         if self.joined || seeds.is_empty() || self.is_excluded() {
             return;
         }
-        while seeds.len() > JOIN_TO {
-            let place = self.rng.rand_range(0..seeds.len() as u32) as usize;
-            seeds.swap_remove(place);
+        while seeds.len() > JOIN_FANOUT {
+            let index = self.rng.rand_range(0..seeds.len() as u32) as usize;
+            seeds.swap_remove(index);
         }
         for seed in seeds {
-            self.send(seed, Body::Table { ask: true, entries: Vec::new() }, 0, None, out);
+            self.send(
+                seed,
+                Body::StateExchange { reply_requested: true, records: Vec::new() },
+                0,
+                None,
+                actions,
+            );
         }
-        let again =
-            f64::from(1 << self.joins.min(JOIN_DOUBLINGS)) * (0.75 + 0.5 * f64::from(self.rng.rand_float()));
-        self.joins += 1;
-        self.set(JOIN.scaled(again), Due::Join);
+        let backoff = f64::from(1 << self.join_attempts.min(MAX_JOIN_BACKOFF_DOUBLINGS))
+            * (0.75 + 0.5 * f64::from(self.rng.rand_float()));
+        self.join_attempts += 1;
+        self.set_timer(JOIN_RETRY_INTERVAL.scaled(backoff), TimerEvent::Join);
     }
 
-    /// From here on others hold it for a member, unless its name is in question.
-    pub(crate) fn announce(&mut self, out: &mut Vec<Action>) {
-        if self.announced || self.claim.is_some() {
+    /// From here on other members add this one, unless its identity is in conflict.
+    pub(crate) fn announce(&mut self, actions: &mut Vec<Action>) {
+        if self.announced || self.conflict.is_some() {
             return;
         }
         self.announced = true;
-        self.spread_me(out);
+        self.spread_self(actions);
     }
 
-    /// All that is held, with the proxy itself.
-    fn whole(&self) -> Vec<Entry> {
-        let own = Some(self.me.clone()).filter(|_| self.announced);
-        let others = self.others.values().map(|member| member.entry.clone());
-        own.into_iter().chain(others).collect()
+    /// Records of all known members, including this proxy once it has announced itself.
+    fn full_state(&self) -> Vec<MemberRecord> {
+        let local = Some(self.local.clone()).filter(|_| self.announced);
+        let others = self.others.values().map(|member| member.record.clone());
+        local.into_iter().chain(others).collect()
     }
 
-    fn send_table(&mut self, to: SocketAddr, ask: bool, out: &mut Vec<Action>) {
-        let bare = self.bare(Body::Table { ask, entries: Vec::new() });
-        for (n, entries) in pieces(&bare, &self.whole()).into_iter().enumerate() {
-            self.send(to, Body::Table { ask: ask && n == 0, entries }, 0, None, out);
+    fn send_full_state(&mut self, to: SocketAddr, reply_requested: bool, actions: &mut Vec<Action>) {
+        let envelope = self.envelope(Body::StateExchange { reply_requested, records: Vec::new() });
+        for (n, records) in split_records(&envelope, &self.full_state()).into_iter().enumerate() {
+            self.send(
+                to,
+                Body::StateExchange { reply_requested: reply_requested && n == 0, records },
+                0,
+                None,
+                actions,
+            );
         }
     }
 
-    /// Sends its whole table to one member, and asks for that one's. Seldomer in a larger fleet, so that what each sends
-    /// a second grows more slowly than the fleet.
-    pub(crate) fn exchange(&mut self, out: &mut Vec<Action>) {
+    /// Exchanges the full state with one random member. The interval grows with the fleet, so that the
+    /// traffic of each member grows more slowly than the fleet.
+    pub(crate) fn exchange_state(&mut self, actions: &mut Vec<Action>) {
         let scale = (self.alive() as f64 / 32.0).log2().max(0.0) + 1.0;
-        let after = EXCHANGE.scaled(scale * (0.75 + 0.5 * f64::from(self.rng.rand_float())));
-        self.set(after, Due::Exchange);
+        let after = STATE_EXCHANGE_INTERVAL.scaled(scale * (0.75 + 0.5 * f64::from(self.rng.rand_float())));
+        self.set_timer(after, TimerEvent::StateExchange);
         if self.is_excluded() {
             return;
         }
-        if let Some(to) = self.some(1, "").pop().and_then(|name| self.others.get(&name)) {
-            let to = to.entry.address;
-            self.send_table(to, true, out);
+        if let Some(to) = self.random_members(1, "").pop().and_then(|name| self.others.get(&name)) {
+            let to = to.record.address;
+            self.send_full_state(to, true, actions);
         }
     }
 
-    /// Asks one of those that are held dead, or a seed that is not there: guards against two sides of a partition never
-    /// finding each other again.
-    pub(crate) fn reach(&mut self, out: &mut Vec<Action>) {
-        let after = REACH.scaled(0.75 + 0.5 * f64::from(self.rng.rand_float()));
-        self.set(after, Due::Reach);
+    /// Requests the state of a dead member or of a seed that is not a known member. Without this, two sides
+    /// of a partition that declared each other dead would never find each other again.
+    pub(crate) fn reconnect(&mut self, actions: &mut Vec<Action>) {
+        let after = RECONNECT_INTERVAL.scaled(0.75 + 0.5 * f64::from(self.rng.rand_float()));
+        self.set_timer(after, TimerEvent::Reconnect);
         if self.is_excluded() || self.others.is_empty() {
             return;
         }
-        let dead = self.others.values().filter(|member| member.entry.state == State::Dead);
-        let mut all: Vec<SocketAddr> = dead.map(|member| member.entry.address).collect();
-        let known = |seed: &SocketAddr| self.others.values().any(|member| member.entry.address == *seed);
-        all.extend(self.seeds().into_iter().filter(|seed| !known(seed)));
-        if !all.is_empty() {
-            let to = all[self.rng.rand_range(0..all.len() as u32) as usize];
-            self.reached = Some(to);
-            self.send(to, Body::Table { ask: true, entries: Vec::new() }, 0, None, out);
+        let dead = self.others.values().filter(|member| member.record.state == MemberState::Dead);
+        let mut targets: Vec<SocketAddr> = dead.map(|member| member.record.address).collect();
+        let known = |seed: &SocketAddr| self.others.values().any(|member| member.record.address == *seed);
+        targets.extend(self.other_seeds().into_iter().filter(|seed| !known(seed)));
+        if !targets.is_empty() {
+            let to = targets[self.rng.rand_range(0..targets.len() as u32) as usize];
+            self.reconnect_target = Some(to);
+            self.send(
+                to,
+                Body::StateExchange { reply_requested: true, records: Vec::new() },
+                0,
+                None,
+                actions,
+            );
         }
     }
 
-    pub(crate) fn table(&mut self, sender: Entry, ask: bool, entries: Vec<Entry>, out: &mut Vec<Action>) {
-        let was_there = self.others.get(&sender.name).is_some_and(|member| member.entry.state.is_present());
-        let bare = entries.is_empty();
-        for entry in entries {
-            if entry.name != sender.name || entry.generation != sender.generation {
-                self.hear(entry, false, out);
+    pub(crate) fn receive_state(
+        &mut self,
+        sender: MemberRecord,
+        reply_requested: bool,
+        records: Vec<MemberRecord>,
+        actions: &mut Vec<Action>,
+    ) {
+        let was_present =
+            self.others.get(&sender.name).is_some_and(|member| member.record.state.is_present());
+        let empty = records.is_empty();
+        for record in records {
+            if record.name != sender.name || record.generation != sender.generation {
+                self.merge_update(record, false, actions);
             }
         }
-        if ask {
-            self.send_table(sender.address, false, out);
-        } else if !bare || sender.incarnation > 0 {
+        if reply_requested {
+            self.send_full_state(sender.address, false, actions);
+        } else if !empty || sender.incarnation > 0 {
             self.joined = true;
-            // Who was held dead and answers holds others otherwise too: it gets all that is held here.
-            if self.reached.take_if(|to| *to == sender.address).is_some() && !was_there && self.announced {
-                self.send_table(sender.address, false, out);
+            // A dead member that answers has a different view of other members too: it gets the full state.
+            if self.reconnect_target.take_if(|to| *to == sender.address).is_some()
+                && !was_present
+                && self.announced
+            {
+                self.send_full_state(sender.address, false, actions);
             }
-            if !self.announced && self.claim.is_none() {
-                self.set(Span::from_millis(100), Due::Announce);
+            if !self.announced && self.conflict.is_none() {
+                self.set_timer(Span::from_millis(100), TimerEvent::Announce);
             }
         }
     }
 
-    pub(crate) fn leave(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn leave(&mut self, actions: &mut Vec<Action>) {
         if self.leaving || !self.announced {
             return;
         }
         self.leaving = true;
-        self.me.state = State::Left;
-        self.spread(self.me.clone());
-        for name in self.some(LEAVE_TO, "") {
-            let me = Some(self.me.clone());
-            if let Some(to) = self.others.get(&name).map(|member| member.entry.address) {
-                self.send(to, Body::Gossip, 0, me, out);
+        self.local.state = MemberState::Left;
+        self.queue_update(self.local.clone());
+        for name in self.random_members(LEAVE_FANOUT, "") {
+            let local = Some(self.local.clone());
+            if let Some(to) = self.others.get(&name).map(|member| member.record.address) {
+                self.send(to, Body::Gossip, 0, local, actions);
             }
         }
     }
 
-    // Two that claim one name or address.
+    // Conflicts between two processes with one name or address.
 
-    /// Hears of another process with the own name, or the own address: is it there?
-    pub(crate) fn contest(&mut self, other: &Entry, out: &mut Vec<Action>) {
-        if self.claim.is_some() || other.generation == self.me.generation || self.leaving {
+    /// Another process is said to use this process's name or address: checks whether it is running.
+    pub(crate) fn open_conflict(&mut self, other: &MemberRecord, actions: &mut Vec<Action>) {
+        if self.conflict.is_some() || other.generation == self.local.generation || self.leaving {
             return;
         }
-        let (seq, address) = (self.next_seq(), other.name != self.me.name);
-        let (answered, echoed, outside) = (false, false, false);
-        self.claim = Some(Claim { other: other.clone(), seq, asked: 0, address, answered, echoed, outside });
-        self.challenge(out);
+        let (seq, over_address) = (self.next_seq(), other.name != self.local.name);
+        let (answered, echoed, excludes_local) = (false, false, false);
+        self.conflict = Some(IdentityConflict {
+            other: other.clone(),
+            seq,
+            attempts: 0,
+            over_address,
+            answered,
+            echoed,
+            excludes_local,
+        });
+        self.challenge(actions);
     }
 
-    /// Judges a claim on the own address, after the other one was asked there and oneself as well.
-    fn judge_address(&mut self, out: &mut Vec<Action>) {
-        let generation = self.me.generation;
-        let Some(claim) = self.claim.as_mut().filter(|claim| claim.address && claim.answered) else { return };
-        // Guards against one wrong line in one configuration shutting out the process that is reached there.
-        let goes_before = !claim.echoed || claim.other.generation < generation;
-        if !claim.echoed && claim.asked < CHALLENGES {
-            return; // its own ping may have been lost
+    /// Evaluates a conflict over the address, after pings to the other process and to this one were sent
+    /// there.
+    fn evaluate_address_conflict(&mut self, actions: &mut Vec<Action>) {
+        let generation = self.local.generation;
+        let Some(conflict) =
+            self.conflict.as_mut().filter(|conflict| conflict.over_address && conflict.answered)
+        else {
+            return;
+        };
+        // Reachability comes before age: otherwise one wrong advertised address in one configuration could
+        // exclude the process that really is at that address.
+        let other_wins = !conflict.echoed || conflict.other.generation < generation;
+        if !conflict.echoed && conflict.attempts < CHALLENGE_ATTEMPTS {
+            return; // the ping to this process may have been lost
         }
-        (claim.asked, claim.answered, claim.echoed) = (0, false, false);
-        if goes_before && !claim.outside {
+        (conflict.attempts, conflict.answered, conflict.echoed) = (0, false, false);
+        if other_wins && !conflict.excludes_local {
             let text = format!(
-                "{} is reached at {}, which this process tells others as its own: it takes no part in the fleet",
-                claim.other.name, claim.other.address
+                "{} is reached at {}, this process's advertised address: it takes no part in the fleet",
+                conflict.other.name, conflict.other.address
             );
-            claim.outside = true;
-            self.keep_out(text, out);
-        } else if !goes_before {
-            self.claim = None;
+            conflict.excludes_local = true;
+            self.exclude_local(text, actions);
+        } else if !other_wins {
+            self.conflict = None;
         }
     }
 
-    /// Takes no part from here on. Others that were told of it need not wait for it.
-    fn keep_out(&mut self, text: String, out: &mut Vec<Action>) {
-        if self.announced && self.claim.as_ref().is_some_and(|claim| claim.address) {
-            let left = Entry { state: State::Left, ..self.me.clone() };
-            let there = self.some(LEAVE_TO, "").into_iter();
+    /// Stops taking part in the fleet. Members that know this process are told that it left, so that they
+    /// don't have to wait for a suspicion to end.
+    fn exclude_local(&mut self, text: String, actions: &mut Vec<Action>) {
+        if self.announced && self.conflict.as_ref().is_some_and(|conflict| conflict.over_address) {
+            let left = MemberRecord { state: MemberState::Left, ..self.local.clone() };
+            let names = self.random_members(LEAVE_FANOUT, "").into_iter();
             let mut to: Vec<SocketAddr> =
-                there.filter_map(|name| Some(self.others.get(&name)?.entry.address)).collect();
-            to.extend(self.seeds());
+                names.filter_map(|name| Some(self.others.get(&name)?.record.address)).collect();
+            to.extend(self.other_seeds());
             for to in to {
-                self.send(to, Body::Gossip, 0, Some(left.clone()), out);
+                self.send(to, Body::Gossip, 0, Some(left.clone()), actions);
             }
-            self.me.incarnation += 1; // for when it takes part again
+            self.local.incarnation += 1; // for when it takes part again
         }
         self.announced = false;
         self.probe = None;
-        self.say(out, text);
+        self.log(actions, text);
     }
 
-    /// A message of one's own has come back.
-    pub(crate) fn echoed(&mut self, body: &Body) {
+    /// A message of this process has come back to it.
+    pub(crate) fn receive_own_ping(&mut self, body: &Body) {
         let Body::Ping { seq, to } = body else { return };
-        if let Some(claim) = self.claim.as_mut().filter(|claim| claim.seq == *seq && *to == self.me.name) {
-            claim.echoed = true;
+        if let Some(conflict) =
+            self.conflict.as_mut().filter(|conflict| conflict.seq == *seq && *to == self.local.name)
+        {
+            conflict.echoed = true;
         }
     }
 
-    /// One that asks for the table gets it at the address that it tells others. Where another member is there, it is told so
-    /// by the way that its message came: guards against one that never hears an answer and does not know why.
-    pub(crate) fn tell_who_is_there(&mut self, sender: &Entry, from: SocketAddr, out: &mut Vec<Action>) {
-        let there = |entry: &Entry| entry.address == sender.address && entry.state.is_present();
-        let mut others = self.others.values().map(|member| &member.entry);
+    /// A process that requests the state gets it at its advertised address. If another member is at that
+    /// address, the sender is told so at the source address of its request: otherwise it would never receive
+    /// an answer and would not know why.
+    pub(crate) fn report_address_holder(
+        &mut self,
+        sender: &MemberRecord,
+        from: SocketAddr,
+        actions: &mut Vec<Action>,
+    ) {
+        let holds_address =
+            |record: &MemberRecord| record.address == sender.address && record.state.is_present();
+        let mut others = self.others.values().map(|member| &member.record);
         if from == sender.address {
             return;
         }
-        if let Some(other) = others.find(|other| there(other) && other.name != sender.name).cloned() {
-            self.send(from, Body::Gossip, 0, Some(other), out);
+        if let Some(other) = others.find(|other| holds_address(other) && other.name != sender.name).cloned() {
+            self.send(from, Body::Gossip, 0, Some(other), actions);
         }
     }
 
-    /// Hears from one that says it is at the own address. Answers sent there would come back: it is told, by the way that
-    /// its message came, who is reached there, at most once a beat.
-    pub(crate) fn heard_namesake(
+    /// Handles a message of another process that advertises this process's address. Answers sent to that
+    /// address would come back here, so the sender is told at its source address who is reached there, at
+    /// most once per probe interval.
+    pub(crate) fn receive_from_address_claimant(
         &mut self,
-        sender: &Entry,
+        sender: &MemberRecord,
         body: &Body,
         from: SocketAddr,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if sender.incarnation > 0 && sender.state.is_present() {
-            self.contest(sender, out);
+            self.open_conflict(sender, actions);
         }
         match body {
-            Body::Ping { seq, to } if *to == self.me.name => {
-                self.send(from, Body::Ack { seq: *seq }, 0, None, out)
+            Body::Ping { seq, to } if *to == self.local.name => {
+                self.send(from, Body::Ack { seq: *seq }, 0, None, actions)
             }
             Body::Ack { seq } => {
-                self.challenged(*seq, sender, out);
+                self.receive_challenge_ack(*seq, sender, actions);
             }
             _ => {
-                let (generation, told) = self.namesake;
-                if generation == sender.generation && self.now.since(told) < BEAT {
+                let (generation, told_at) = self.address_claimant;
+                if generation == sender.generation && self.now.since(told_at) < PROBE_INTERVAL {
                     return;
                 }
-                self.namesake = (sender.generation, self.now);
-                let me = Some(self.me.clone()).filter(|_| self.announced);
-                self.send(from, Body::Gossip, 0, me, out);
+                self.address_claimant = (sender.generation, self.now);
+                let local = Some(self.local.clone()).filter(|_| self.announced);
+                self.send(from, Body::Gossip, 0, local, actions);
                 if generation != sender.generation {
                     let (name, address) = (&sender.name, sender.address);
                     let text = format!(
-                        "{name} tells others that it is at {address}, the address of this process, which is {}",
-                        self.me.name
+                        "{name} advertises {address}, which is the address of this process, {}",
+                        self.local.name
                     );
-                    self.say(out, text);
+                    self.log(actions, text);
                 }
             }
         }
     }
 
-    /// Asks the other process once more, or gives it up.
-    pub(crate) fn challenge(&mut self, out: &mut Vec<Action>) {
-        self.judge_address(out);
-        let Some(claim) = &mut self.claim else { return self.announce_again(out) };
-        claim.asked += 1;
-        let address = claim.address;
-        let (seq, asked, outside) = (claim.seq, claim.asked, claim.outside);
+    /// Pings the other process of a conflict once more, or closes the conflict if it does not answer.
+    pub(crate) fn challenge(&mut self, actions: &mut Vec<Action>) {
+        self.evaluate_address_conflict(actions);
+        let Some(conflict) = &mut self.conflict else { return self.announce_again(actions) };
+        conflict.attempts += 1;
+        let over_address = conflict.over_address;
+        let (seq, attempts, excludes_local) = (conflict.seq, conflict.attempts, conflict.excludes_local);
         let (to, name, incarnation) =
-            (claim.other.address, claim.other.name.clone(), claim.other.incarnation);
-        if asked > CHALLENGES {
-            // Nobody is there: an earlier life, or one that has gone since.
-            self.claim = None;
-            if name == self.me.name {
-                self.me.incarnation = self.me.incarnation.max(incarnation + 1);
+            (conflict.other.address, conflict.other.name.clone(), conflict.other.incarnation);
+        if attempts > CHALLENGE_ATTEMPTS {
+            // The claim was about an earlier process of this member, or about one that has terminated since.
+            self.conflict = None;
+            if name == self.local.name {
+                self.local.incarnation = self.local.incarnation.max(incarnation + 1);
             }
-            if outside {
-                self.say(out, format!("nobody claims {name} any more: it takes part again"));
-                self.set(Span::ZERO, Due::Join);
+            if excludes_local {
+                self.log(actions, format!("no other process claims {name} any more: it takes part again"));
+                self.set_timer(Span::ZERO, TimerEvent::Join);
             }
-            return self.announce_again(out);
+            return self.announce_again(actions);
         }
-        self.send(to, Body::Ping { seq, to: name }, 0, None, out);
-        if address {
-            let own = self.me.name.clone();
-            self.send(to, Body::Ping { seq, to: own }, 0, None, out);
+        self.send(to, Body::Ping { seq, to: name }, 0, None, actions);
+        if over_address {
+            let own_name = self.local.name.clone();
+            self.send(to, Body::Ping { seq, to: own_name }, 0, None, actions);
         }
-        self.set(if outside { OUTSIDE } else { CHALLENGE }, Due::Challenge);
+        self.set_timer(
+            if excludes_local { EXCLUDED_CHALLENGE_INTERVAL } else { CHALLENGE_TIMEOUT },
+            TimerEvent::Challenge,
+        );
     }
 
-    fn announce_again(&mut self, out: &mut Vec<Action>) {
+    fn announce_again(&mut self, actions: &mut Vec<Action>) {
         if self.announced {
-            return self.spread_me(out);
+            return self.spread_self(actions);
         }
-        self.announce(out);
+        self.announce(actions);
     }
 
-    /// Whether an answer came from the other process of a claim. The younger one keeps out.
-    pub(crate) fn challenged(&mut self, seq: u32, sender: &Entry, out: &mut Vec<Action>) -> bool {
-        let Some(claim) = self.claim.as_mut().filter(|claim| claim.seq == seq) else { return false };
-        if sender.generation != claim.other.generation {
+    /// Handles an ack if it belongs to a challenge, and returns whether it does. The younger process is
+    /// excluded.
+    pub(crate) fn receive_challenge_ack(
+        &mut self,
+        seq: u32,
+        sender: &MemberRecord,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(conflict) = self.conflict.as_mut().filter(|conflict| conflict.seq == seq) else {
+            return false;
+        };
+        if sender.generation != conflict.other.generation {
             return true;
         }
-        if claim.address {
-            claim.answered = true;
+        if conflict.over_address {
+            conflict.answered = true;
             return true;
         }
-        claim.asked = 0;
-        if claim.outside {
+        conflict.attempts = 0;
+        if conflict.excludes_local {
             return true;
         }
-        let (name, address) = (claim.other.name.clone(), sender.address);
-        if claim.other.generation > self.me.generation {
-            // It is the younger one, and finds out itself; what it has claimed is overruled.
-            if name == self.me.name {
-                self.me.incarnation = self.me.incarnation.max(claim.other.incarnation + 1);
+        let (name, address) = (conflict.other.name.clone(), sender.address);
+        if conflict.other.generation > self.local.generation {
+            // The other process is younger and will find that out itself; this one overrides its claims.
+            if name == self.local.name {
+                self.local.incarnation = self.local.incarnation.max(conflict.other.incarnation + 1);
             }
-            self.claim = None;
-            self.say(out, format!("a younger process at {address} claims {name}"));
-            self.announce_again(out);
+            self.conflict = None;
+            self.log(actions, format!("a younger process at {address} claims {name}"));
+            self.announce_again(actions);
             return true;
         }
-        claim.outside = true;
-        let text = format!(
-            "{name} at {address} is another process that is older: this one takes no part in the fleet"
-        );
-        self.keep_out(text, out);
+        conflict.excludes_local = true;
+        let text =
+            format!("{name} at {address} is another, older process: this one takes no part in the fleet");
+        self.exclude_local(text, actions);
         true
     }
 
-    /// What one hears that keeps out.
-    pub(crate) fn heard_outside(&mut self, sender: &Entry, body: &Body, out: &mut Vec<Action>) {
+    /// An excluded process only listens for answers to its challenges.
+    pub(crate) fn receive_while_excluded(
+        &mut self,
+        sender: &MemberRecord,
+        body: &Body,
+        actions: &mut Vec<Action>,
+    ) {
         if let Body::Ack { seq } = body {
-            self.challenged(*seq, sender, out);
+            self.receive_challenge_ack(*seq, sender, actions);
         }
     }
 }
--- a/crates/fleet/src/member_count.rs
+++ b/crates/fleet/src/member_count.rs
@@ -1,63 +1,66 @@
-//! By how many a proxy divides what all of its tier share. The one place of that rule.
+//! The number by which a proxy divides what all proxies of its tier share. This rule is implemented only
+//! here.
 //!
-//! Let `whole` be how many there usually are, and x the part of them that is there. Nobody can tell a proxy that is cut off
-//! from one that is dead, so a part takes
+//! Let `total` be the usual number of members and x the fraction of them that is present. A proxy that is cut
+//! off cannot be distinguished from a dead one, so a partition takes
 //!
-//! - its own x, where x is at most a half: the rest may be alive, and one of them;
+//! - its own x, where x is at most a half: the rest may be alive and form a single partition;
 //! - the smaller of 1 and x + 1/4, where x is more than a half.
 //!
-//! Of any partition of the whole one part at most is more than a half. If none is, the parts take 1 together. If one is, with
-//! x, the others together are 1 - x and take that: all of it comes to 1 - x + min(1, x + 1/4), which is at most 1.25.
+//! At most one partition contains more than half of the members. If none does, the partitions take 1
+//! together. If one does, with x, the others together are 1 - x and take that: the sum is 1 - x + min(1, x +
+//! 1/4), which is at most 1.25.
 
 use sparlug::time::{Span, Time};
 
-/// More than its own part that a majority takes.
-const MORE: f64 = 0.25;
-/// How much of it the number may fall in a second; it rises at once.
-const FALL: f64 = 0.02;
+/// How much more than its own fraction a majority takes.
+const MAJORITY_EXTRA_RATIO: f64 = 0.25;
+/// The number may fall by this ratio per second; it rises at once.
+const MAX_FALL_RATIO_PER_S: f64 = 0.02;
 
-/// By how many each of `there` divides, of a `whole` that counts them too. At least `there`, at most `whole`.
+/// The number by which each present member divides a shared total. At least `present`, at most `total`.
 ///
-/// `there`: members that are seen, the proxy itself included; `whole`: how many there usually are.
-pub fn divide_by(there: usize, whole: usize) -> f64 {
-    let (there, whole) = (there.max(1) as f64, whole.max(there).max(1) as f64);
-    let part = there / whole;
-    if part <= 0.5 {
-        whole
+/// `present`: members seen as present, including the proxy itself; `total`: the usual number of members.
+pub fn share_divisor(present: usize, total: usize) -> f64 {
+    let (present, total) = (present.max(1) as f64, total.max(present).max(1) as f64);
+    let fraction = present / total;
+    if fraction <= 0.5 {
+        total
     } else {
-        there / (part + MORE).min(1.0)
+        present / (fraction + MAJORITY_EXTRA_RATIO).min(1.0)
     }
 }
 
-/// The number in force: it follows at once where it is to rise, and slowly where it is to fall.
+/// The number in force: rises at once and falls slowly.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberCount {
-    number: f64,
-    at: Time,
+    value: f64,
+    updated_at: Time,
 }
 
 impl MemberCount {
-    /// Begins with what the configuration says.
-    pub fn new(number: usize, at: Time) -> MemberCount {
-        MemberCount { number: number.max(1) as f64, at }
+    /// Starts with the configured number.
+    pub fn new(configured: usize, now: Time) -> MemberCount {
+        MemberCount { value: configured.max(1) as f64, updated_at: now }
     }
 
-    /// Takes what [`divide_by`] says now; tells whether the whole number in force is another.
-    pub fn update(&mut self, wanted: f64, now: Time) -> bool {
-        let before = self.whole();
-        let seconds = now.since(self.at).ms() / 1000.0;
-        self.at = now;
-        self.number = wanted.max(self.number * (1.0 - FALL).powf(seconds));
-        self.whole() != before
+    /// Applies the current result of [`share_divisor`]; returns whether the rounded number changed.
+    pub fn update(&mut self, target: f64, now: Time) -> bool {
+        let before = self.rounded();
+        let seconds = now.since(self.updated_at).ms() / 1000.0;
+        self.updated_at = now;
+        self.value = target.max(self.value * (1.0 - MAX_FALL_RATIO_PER_S).powf(seconds));
+        self.rounded() != before
     }
 
-    /// Rounded up: a part is never larger for it.
-    pub fn whole(&self) -> usize {
-        (self.number - 1e-9).ceil().max(1.0) as usize
+    /// Rounded up, so that rounding never enlarges a share.
+    pub fn rounded(&self) -> usize {
+        (self.value - 1e-9).ceil().max(1.0) as usize
     }
 }
 
-/// From when on views are old enough for the rule to hold, since the last time that anybody came or a way was cut: news of
-/// who comes has reached all by then, and who is cut off is at least suspected. When a majority that has taken more is parted
-/// anew, its parts come to 1.27 of the whole for some seconds before that.
-pub const SETTLED: Span = Span::from_millis(15_000);
+/// The bound of 1.25 holds once this time has passed since the last join or loss of a network path: by then
+/// updates about a joining member have reached all, and a member that is cut off is at least suspected. When
+/// a majority that has taken its extra share is partitioned again, the shares add up to 1.27 of the total for
+/// some seconds before that.
+pub const VIEW_SETTLING_TIME: Span = Span::from_millis(15_000);
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,6 +1,7 @@
-//! Who is there: the machine that each proxy runs. It learns of others by their messages and by what is told of them, and
-//! settles claims that contradict each other by the incarnation that only the member itself raises. After SWIM (Das, Gupta,
-//! Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2018); what was kept is in `docs/design/fleet.md`.
+//! The membership state machine that each proxy runs. It learns of other members from their messages and from
+//! gossip, and resolves contradicting claims by the incarnation number that only the member itself raises. It
+//! follows SWIM (Das, Gupta, Motivala 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey 2018);
+//! `docs/design/fleet.md` lists which parts of them apply.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,69 +10,72 @@
 use sparlug::time::{Span, Time};
 
 use crate::duties::DutyMessage;
-use crate::lifecycle::Claim;
-use crate::member_count::{divide_by, MemberCount};
+use crate::lifecycle::IdentityConflict;
+use crate::member_count::{share_divisor, MemberCount};
 use crate::merge::Suspicion;
-use crate::probing::{Probe, Relay};
-use crate::updates::News;
+use crate::probing::{IndirectPing, Probe};
+use crate::updates::UpdateQueue;
 use crate::view::{MemberStatus, View};
-use crate::wire::{self, Bad, Body, Entry, Message, State};
-
-pub(crate) const BEAT: Span = Span::from_millis(500); // between two probes of one's own
-const GOSSIP: Span = Span::from_millis(200); // between two tellings of news that wait
-pub(crate) const GOSSIP_TO: usize = 2;
-const HEALTH_MOST: u32 = 8; // of the measure of one's own slowness
-const SLEPT: Span = Span::from_millis(100); // later than that, a timer says that the process had not run
-const WAKING: Span = Span::from_millis(250); // for what came meanwhile to be read, before anybody is judged
-/// Others that are known at the most. Guards against forged claims filling the memory.
-pub(crate) const MEMBERS_MOST: usize = 4096;
-pub(crate) const RIDERS: usize = 8; // news that ride on a probe or its answer
-const UNHEARD: Span = Span::from_millis(15_000); // after a word that others hold it dead
-const LIFE_BITS: u32 = 20; // of chance in a life, below the milliseconds of its start
-const LINES: f64 = 20.0; // of the log at once; and so many a second later
-const LINES_PER_S: f64 = 2.0;
-
-/// What a proxy is told of its fleet.
+use crate::wire::{self, Body, DecodeError, MemberRecord, MemberState, Message};
+
+pub(crate) const PROBE_INTERVAL: Span = Span::from_millis(500);
+const GOSSIP_INTERVAL: Span = Span::from_millis(200); // between two rounds of gossip while updates are queued
+pub(crate) const GOSSIP_FANOUT: usize = 2;
+const MAX_LOCAL_HEALTH: u32 = 8;
+/// A timer that fires later than this shows that the process was not running.
+const PAUSE_THRESHOLD: Span = Span::from_millis(100);
+/// After a pause, datagrams that arrived meanwhile are read for this long before any member is judged.
+const RESUME_GRACE: Span = Span::from_millis(250);
+/// Limit on known other members, so that forged claims can't fill the memory.
+pub(crate) const MAX_MEMBERS: usize = 4096;
+pub(crate) const MAX_PIGGYBACKED: usize = 8; // updates on a probe or its answer
+/// How long the proxy counts as unheard after it learns that others declared it dead.
+const REPORTED_DEAD_PERIOD: Span = Span::from_millis(15_000);
+const GENERATION_RANDOM_BITS: u32 = 20; // below the milliseconds of the process's start
+const LOG_BURST_LINES: f64 = 20.0;
+const LOG_LINES_PER_S: f64 = 2.0;
+
+/// Configuration of one member.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub fleet: String,
     pub name: String,
-    /// What others are told.
+    /// The address advertised to other members.
     pub address: SocketAddr,
     pub zone: String,
     pub seeds: Vec<SocketAddr>,
-    /// How many proxies there usually are, if staff say.
+    /// Usual number of proxies, if operators configured it.
     pub expected: Option<usize>,
-    /// How many the file's tier has: counted until others were heard.
+    /// Number of proxies in the configured tier: used until other members have been heard.
     pub instances: usize,
-    /// A mistake that a search must find; `None` outside of tests.
+    /// A seeded defect that the randomised tests must find; `None` outside of tests.
     pub seeded_defect: Option<SeededDefect>,
 }
 
-/// A deliberate mistake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededDefect {
-    /// Does not speak up against a suspicion.
+    /// Does not refute a suspicion of itself.
     NoRefutation,
-    /// Begins each life with the first incarnation, whatever it hears of an earlier one.
+    /// Starts every process with the first incarnation and ignores the incarnation of an earlier process of
+    /// its name.
     LostIncarnation,
 }
 
 #[derive(Debug)]
 pub enum Event<'a> {
     Start,
-    /// It is at least as late as the last [`Action::SetTimer`] said.
+    /// The time of the last [`Action::SetTimer`] has come.
     TimerExpired,
-    /// Bytes, and where they came from: that proves nothing, and is a way to one that others can't reach.
+    /// A datagram and its source address. The address proves nothing, but replies sent there may reach a
+    /// sender whose advertised address others can't reach.
     DatagramReceived(&'a [u8], SocketAddr),
-    /// Says something to one of the others that are there, chosen by a number.
+    /// Sends a message to one of the other present members, chosen by an index modulo their number.
     SendPeerMessage {
         member_index: usize,
         bytes: Vec<u8>,
     },
-    /// A letter about duties.
     SendDutyMessage(SocketAddr, DutyMessage),
-    /// It will end soon, by order.
+    /// The process was ordered to terminate and will do so soon.
     Leave,
 }
 
@@ -81,21 +85,21 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// Wants [`Event::Due`] then, and no longer when it had wanted it before.
+    /// Requests [`Event::TimerExpired`] at this time; replaces an earlier request.
     SetTimer(Time),
     Log(String),
-    /// The view, or the number in force, is another.
+    /// The view or the member count in force has changed.
     ViewChanged,
-    /// A member that is there has said this.
+    /// A present member has sent this message.
     PeerMessage {
         from: String,
         bytes: Vec<u8>,
     },
-    /// One of the fleet that has announced itself has sent a letter about duties.
-    DutyMessage(Entry, DutyMessage),
+    /// A member that has announced itself has sent a message about duties.
+    DutyMessage(MemberRecord, DutyMessage),
 }
 
-/// What was not taken, and how often.
+/// Counters of messages and incidents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sent: u64,
@@ -106,363 +110,392 @@
     pub unknown_kind: u64,
     pub invalid: u64,
     pub other_fleet: u64,
-    /// Pings for somebody else.
+    /// Pings addressed to another member.
     pub misdirected: u64,
-    /// Claims of members beyond those that there is room for.
+    /// Claims about new members rejected because the member limit is reached.
     pub over_capacity: u64,
     pub refuted: u64,
     pub declared_dead: u64,
-    /// Times that it had not run for a while.
+    /// How often the process was not running for a while.
     pub pauses: u64,
 }
 
 #[derive(Debug)]
-pub(crate) enum Due {
-    Beat,
-    /// No direct answer to a probe so far.
-    Indirect(u32),
-    /// The end of a probe.
-    Verdict(u32),
-    /// One that was pinged for another has not answered so far.
-    Relay(u32),
-    /// The end of a suspicion, unless it was moved.
-    Suspicion(String),
+pub(crate) enum TimerEvent {
+    Probe,
+    /// The probe has no direct answer so far.
+    IndirectProbe(u32),
+    ProbeEnd(u32),
+    /// The target of an indirect ping has not answered so far.
+    Nack(u32),
+    /// The end of a suspicion, unless it was postponed.
+    SuspicionEnd(String),
     Gossip,
-    Exchange,
-    /// To the dead, and to seeds that are not there.
-    Reach,
+    StateExchange,
+    /// Contacts a dead member or an absent seed.
+    Reconnect,
     Join,
     Announce,
-    /// Whether another process has the own name or address.
+    /// Checks whether another process uses this process's name or address.
     Challenge,
     Forget(String, u64),
 }
 
-impl Due {
-    /// Whether it judges somebody: that must wait for what came while the process did not run.
+impl TimerEvent {
+    /// Whether it judges another process: such events wait for datagrams that came while this process was not
+    /// running.
     fn judges(&self) -> bool {
         matches!(
             self,
-            Due::Indirect(_) | Due::Verdict(_) | Due::Suspicion(_) | Due::Relay(_) | Due::Challenge
+            TimerEvent::IndirectProbe(_)
+                | TimerEvent::ProbeEnd(_)
+                | TimerEvent::SuspicionEnd(_)
+                | TimerEvent::Nack(_)
+                | TimerEvent::Challenge
         )
     }
 }
 
 #[derive(Debug)]
 pub(crate) struct Member {
-    pub entry: Entry,
-    pub since: Time,
+    pub record: MemberRecord,
+    pub state_since: Time,
     pub suspicion: Option<Suspicion>,
-    /// When it was last told, out of turn, how it is held.
-    pub told: Time,
+    /// When it was last notified, outside of probes and gossip, that it is considered dead.
+    pub notified_at: Time,
 }
 
 pub struct Membership {
     pub(crate) settings: Settings,
     pub(crate) rng: Rand32,
     pub(crate) now: Time,
-    pub(crate) me: Entry,
-    /// All others that were ever heard of and not forgotten.
+    pub(crate) local: MemberRecord,
+    /// All other members ever heard of and not yet forgotten.
     pub(crate) others: BTreeMap<String, Member>,
-    /// Whom to probe next, in a random order that all come up in.
-    pub(crate) order: Vec<String>,
+    /// Members to probe next, in a random order in which each occurs once.
+    pub(crate) probe_order: Vec<String>,
     pub(crate) probe: Option<Probe>,
-    pub(crate) relays: BTreeMap<u32, Relay>,
-    pub(crate) news: News,
-    due: BTreeMap<(Time, u64), Due>,
-    set: u64,
-    wakes: Option<Time>,
-    pub(crate) seq: u32,
-    /// How slow the proxy itself has shown to be, from 0 on; it slows its own accusations.
-    pub(crate) health: u32,
+    pub(crate) indirect_pings: BTreeMap<u32, IndirectPing>,
+    pub(crate) updates: UpdateQueue,
+    timers: BTreeMap<(Time, u64), TimerEvent>,
+    timers_set: u64,
+    requested_timer: Option<Time>,
+    pub(crate) last_seq: u32,
+    /// Lifeguard's local health: 0 is healthy; a higher score slows down the proxy's own accusations.
+    pub(crate) local_health: u32,
     pub(crate) announced: bool,
-    /// Another member has sent its table.
+    /// Another member has sent its state.
     pub(crate) joined: bool,
     pub(crate) leaving: bool,
-    pub(crate) claim: Option<Claim>,
-    /// Who has said that it is at the own address: its life, and when it was last told who is.
-    pub(crate) namesake: (u64, Time),
-    /// When it last heard that others hold it dead.
-    pub(crate) told_dead: Option<Time>,
-    /// Who was reached for last: its answer is answered once.
-    pub(crate) reached: Option<SocketAddr>,
-    pub(crate) joins: u32,
-    gossips: bool,
+    pub(crate) conflict: Option<IdentityConflict>,
+    /// The last other process that claimed this process's address: its generation, and when it was last told
+    /// so.
+    pub(crate) address_claimant: (u64, Time),
+    /// When it last learned that others declared it dead.
+    pub(crate) reported_dead_at: Option<Time>,
+    /// The last address contacted to reconnect: the first reply from there is answered with the full state.
+    pub(crate) reconnect_target: Option<SocketAddr>,
+    pub(crate) join_attempts: u32,
+    gossip_scheduled: bool,
     member_count: MemberCount,
-    /// How many are there, the proxy itself among them; how many are known that have not left; how many are suspected.
-    census: (usize, usize, usize),
-    lines: (f64, Time),
-    unsaid: u64,
-    pub(crate) changed: bool,
+    /// Number of present members including the proxy itself, of known members that have not left, and of
+    /// suspects.
+    totals: (usize, usize, usize),
+    /// Log lines that may be written at once, and when this number was computed.
+    log_allowance: (f64, Time),
+    suppressed_lines: u64,
+    pub(crate) view_changed: bool,
     pub counts: Counts,
 }
 
 impl Membership {
-    /// `seed` draws its life and its choices; `now` is its own clock, whose origin is the same for all lives of a name.
+    /// `seed` determines the generation and all random choices; `now` is the process's own clock, whose
+    /// origin must be the same for all processes that run under one name.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Membership {
         let mut rng = Rand32::new(seed);
         let (name, address, zone) = (settings.name.clone(), settings.address, settings.zone.clone());
-        // A later life has a higher one, as long as clocks go forward; if not, it is told of the earlier one and goes
-        // above that.
-        let first = now.since(Time::ORIGIN).ms().max(1.0) as u64;
+        // A later process has a higher incarnation as long as clocks advance; otherwise it is told of the
+        // earlier process's incarnation and exceeds that.
+        let start_ms = now.since(Time::ORIGIN).ms().max(1.0) as u64;
         let incarnation =
-            if settings.seeded_defect == Some(SeededDefect::LostIncarnation) { 1 } else { first };
-        let generation = first << LIFE_BITS | u64::from(rng.rand_u32() >> (32 - LIFE_BITS));
-        let me = Entry { name, address, zone, state: State::Alive, incarnation, generation, by: 0 };
+            if settings.seeded_defect == Some(SeededDefect::LostIncarnation) { 1 } else { start_ms };
+        let generation =
+            start_ms << GENERATION_RANDOM_BITS | u64::from(rng.rand_u32() >> (32 - GENERATION_RANDOM_BITS));
+        let local = MemberRecord {
+            name,
+            address,
+            zone,
+            state: MemberState::Alive,
+            incarnation,
+            generation,
+            accuser: 0,
+        };
         let member_count = MemberCount::new(settings.expected.unwrap_or(0).max(settings.instances), now);
-        let seq = rng.rand_u32();
+        let last_seq = rng.rand_u32();
         Membership {
             settings,
             rng,
             now,
-            me,
+            local,
             others: BTreeMap::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            relays: BTreeMap::new(),
-            news: News::default(),
-            due: BTreeMap::new(),
-            set: 0,
-            wakes: None,
-            seq,
-            health: 0,
+            indirect_pings: BTreeMap::new(),
+            updates: UpdateQueue::default(),
+            timers: BTreeMap::new(),
+            timers_set: 0,
+            requested_timer: None,
+            last_seq,
+            local_health: 0,
             announced: false,
             joined: false,
             leaving: false,
-            claim: None,
-            namesake: (0, Time::ORIGIN),
-            told_dead: None,
-            reached: None,
-            joins: 0,
-            gossips: false,
+            conflict: None,
+            address_claimant: (0, Time::ORIGIN),
+            reported_dead_at: None,
+            reconnect_target: None,
+            join_attempts: 0,
+            gossip_scheduled: false,
             member_count,
-            census: (1, 1, 0),
-            lines: (LINES, now),
-            unsaid: 0,
-            changed: false,
+            totals: (1, 1, 0),
+            log_allowance: (LOG_BURST_LINES, now),
+            suppressed_lines: 0,
+            view_changed: false,
             counts: Counts::default(),
         }
     }
 
-    /// Takes one event and appends what is to be done about it now.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Handles one event and appends the resulting actions.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        let before = out.len();
+        let before = actions.len();
         match event {
             Event::Start => self.start(),
-            Event::TimerExpired => self.all_due(out),
-            Event::DatagramReceived(bytes, from) => self.heard(bytes, from, out),
+            Event::TimerExpired => self.run_timers(actions),
+            Event::DatagramReceived(bytes, from) => self.receive_datagram(bytes, from, actions),
             Event::SendPeerMessage { member_index, bytes } => {
-                let there = self.there();
-                if let Some(to) = there.get(member_index % there.len().max(1)).cloned() {
-                    self.send_to(&to, Body::Word { bytes }, 0, out);
+                let present = self.present_names();
+                if let Some(to) = present.get(member_index % present.len().max(1)).cloned() {
+                    self.send_to_member(&to, Body::PeerMessage { bytes }, 0, actions);
                 }
             }
-            Event::SendDutyMessage(to, letter) => {
-                // One that keeps out holds nothing, and gives back what it held.
-                if !self.is_excluded() || matches!(letter, DutyMessage::Release { .. }) {
-                    self.send(to, Body::Duty(letter), 0, None, out);
+            Event::SendDutyMessage(to, message) => {
+                // An excluded member holds no lease, and may only release what it held.
+                if !self.is_excluded() || matches!(message, DutyMessage::Release { .. }) {
+                    self.send(to, Body::Duty(message), 0, None, actions);
                 }
             }
-            Event::Leave => self.leave(out),
+            Event::Leave => self.leave(actions),
         }
-        self.count();
-        if std::mem::take(&mut self.changed) {
-            out.push(Action::ViewChanged);
+        self.update_member_count();
+        if std::mem::take(&mut self.view_changed) {
+            actions.push(Action::ViewChanged);
         }
         self.counts.sent +=
-            out[before..].iter().filter(|action| matches!(action, Action::Send { .. })).count() as u64;
-        let first = self.due.first_key_value().map(|((at, _), _)| *at);
-        if let Some(at) = first.filter(|_| first != self.wakes) {
-            self.wakes = first;
-            out.push(Action::SetTimer(at));
+            actions[before..].iter().filter(|action| matches!(action, Action::Send { .. })).count() as u64;
+        let first = self.timers.first_key_value().map(|((at, _), _)| *at);
+        if let Some(at) = first.filter(|_| first != self.requested_timer) {
+            self.requested_timer = first;
+            actions.push(Action::SetTimer(at));
         }
     }
 
-    pub(crate) fn set(&mut self, after: Span, due: Due) {
-        self.set += 1;
-        self.due.insert((self.now + after, self.set), due);
+    pub(crate) fn set_timer(&mut self, after: Span, event: TimerEvent) {
+        self.timers_set += 1;
+        self.timers.insert((self.now + after, self.timers_set), event);
     }
 
-    fn all_due(&mut self, out: &mut Vec<Action>) {
-        self.wakes = None;
-        let first = self.due.first_key_value().map_or(self.now, |((at, _), _)| *at);
-        let slept = self.now.since(first);
-        if slept > SLEPT {
-            self.slept(slept);
+    fn run_timers(&mut self, actions: &mut Vec<Action>) {
+        self.requested_timer = None;
+        let first = self.timers.first_key_value().map_or(self.now, |((at, _), _)| *at);
+        let lateness = self.now.since(first);
+        if lateness > PAUSE_THRESHOLD {
+            self.handle_pause(lateness);
         }
-        let before = self.set;
-        while let Some(first) = self.due.first_entry() {
+        let last_number = self.timers_set;
+        while let Some(first) = self.timers.first_entry() {
             let (at, number) = *first.key();
-            if at > self.now || number > before {
+            if at > self.now || number > last_number {
                 break;
             }
-            let due = first.remove();
-            self.act(due, out);
+            let event = first.remove();
+            self.handle_timer(event, actions);
         }
     }
 
-    /// The process did not run: what it would judge now counts from here, and a bit more.
-    fn slept(&mut self, slept: Span) {
+    /// The process was not running: judgements of others are postponed by the length of the pause and a grace
+    /// period.
+    fn handle_pause(&mut self, pause: Span) {
         self.counts.pauses += 1;
-        self.ail(1);
-        let (judging, rest) = std::mem::take(&mut self.due).into_iter().partition(|(_, due)| due.judges());
-        let judging: BTreeMap<(Time, u64), Due> = judging;
-        self.due = rest;
-        let more = slept + WAKING;
-        self.due.extend(judging.into_iter().map(|((at, number), due)| ((at + more, number), due)));
+        self.degrade_health(1);
+        let (judging, rest) =
+            std::mem::take(&mut self.timers).into_iter().partition(|(_, event)| event.judges());
+        let judging: BTreeMap<(Time, u64), TimerEvent> = judging;
+        self.timers = rest;
+        let delay = pause + RESUME_GRACE;
+        self.timers.extend(judging.into_iter().map(|((at, number), event)| ((at + delay, number), event)));
         for member in self.others.values_mut() {
             if let Some(suspicion) = &mut member.suspicion {
-                (suspicion.began, suspicion.until) = (suspicion.began + more, suspicion.until + more);
+                (suspicion.began, suspicion.until) = (suspicion.began + delay, suspicion.until + delay);
             }
         }
     }
 
-    /// The measure of one's own slowness goes up; it comes down with each probe that is answered.
-    pub(crate) fn ail(&mut self, by: u32) {
-        self.health = (self.health + by).min(HEALTH_MOST);
+    /// Worsens the local health score; each answered probe improves it by 1.
+    pub(crate) fn degrade_health(&mut self, by: u32) {
+        self.local_health = (self.local_health + by).min(MAX_LOCAL_HEALTH);
     }
 
-    pub(crate) fn slowed(&self, span: Span) -> Span {
-        span.scaled(f64::from(1 + self.health))
+    pub(crate) fn scaled_by_health(&self, span: Span) -> Span {
+        span.scaled(f64::from(1 + self.local_health))
     }
 
-    fn act(&mut self, due: Due, out: &mut Vec<Action>) {
-        match due {
-            Due::Beat => self.beat(out),
-            Due::Indirect(seq) => self.ask_others(seq, out),
-            Due::Verdict(seq) => self.verdict(seq, out),
-            Due::Relay(seq) => self.relay_late(seq, out),
-            Due::Suspicion(_) if self.is_excluded() => {}
-            Due::Suspicion(name) => self.suspicion_over(&name, out),
-            Due::Gossip => self.gossip_due(out),
-            Due::Exchange => self.exchange(out),
-            Due::Reach => self.reach(out),
-            Due::Join => self.join(out),
-            Due::Announce => self.announce(out),
-            Due::Challenge => self.challenge(out),
-            Due::Forget(name, incarnation) => {
-                let still = |member: &Member| {
-                    !member.entry.state.is_present() && member.entry.incarnation == incarnation
+    fn handle_timer(&mut self, event: TimerEvent, actions: &mut Vec<Action>) {
+        match event {
+            TimerEvent::Probe => self.probe_next(actions),
+            TimerEvent::IndirectProbe(seq) => self.probe_indirectly(seq, actions),
+            TimerEvent::ProbeEnd(seq) => self.end_probe(seq, actions),
+            TimerEvent::Nack(seq) => self.send_nack(seq, actions),
+            TimerEvent::SuspicionEnd(_) if self.is_excluded() => {}
+            TimerEvent::SuspicionEnd(name) => self.end_suspicion(&name, actions),
+            TimerEvent::Gossip => self.run_gossip_round(actions),
+            TimerEvent::StateExchange => self.exchange_state(actions),
+            TimerEvent::Reconnect => self.reconnect(actions),
+            TimerEvent::Join => self.join(actions),
+            TimerEvent::Announce => self.announce(actions),
+            TimerEvent::Challenge => self.challenge(actions),
+            TimerEvent::Forget(name, incarnation) => {
+                let unchanged = |member: &Member| {
+                    !member.record.state.is_present() && member.record.incarnation == incarnation
                 };
-                if self.others.get(&name).is_some_and(still) {
+                if self.others.get(&name).is_some_and(unchanged) {
                     self.others.remove(&name);
-                    self.recount();
+                    self.update_totals();
                 }
             }
         }
     }
 
-    // What is sent.
+    // Sending.
 
-    /// Names of all others that are there.
-    pub(crate) fn there(&self) -> Vec<String> {
-        let there = self.others.values().filter(|member| member.entry.state.is_present());
-        there.map(|member| member.entry.name.clone()).collect()
+    /// Names of all other present members.
+    pub(crate) fn present_names(&self) -> Vec<String> {
+        let present = self.others.values().filter(|member| member.record.state.is_present());
+        present.map(|member| member.record.name.clone()).collect()
     }
 
-    /// How many are there, with the proxy itself.
+    /// Number of present members, including the proxy itself.
     pub fn alive(&self) -> usize {
-        self.census.0
+        self.totals.0
     }
 
-    /// Somebody has come or gone.
-    pub(crate) fn recount(&mut self) {
-        let states = || self.others.values().map(|member| member.entry.state);
-        let there = states().filter(|state| state.is_present()).count();
-        let suspects = states().filter(|state| *state == State::Suspect).count();
-        self.census = (1 + there, 1 + states().filter(|state| *state != State::Left).count(), suspects);
-        self.changed = true;
+    /// To be called whenever a member joins or changes its state.
+    pub(crate) fn update_totals(&mut self) {
+        let states = || self.others.values().map(|member| member.record.state);
+        let present = states().filter(|state| state.is_present()).count();
+        let suspects = states().filter(|state| *state == MemberState::Suspect).count();
+        self.totals =
+            (1 + present, 1 + states().filter(|state| *state != MemberState::Left).count(), suspects);
+        self.view_changed = true;
     }
 
-    /// Some of those that are there, at random.
-    pub(crate) fn some(&mut self, count: usize, but: &str) -> Vec<String> {
-        let fit = |member: &&Member| member.entry.state.is_present() && member.entry.name != but;
-        let all = self.others.values().filter(fit).count();
-        let mut places = std::collections::BTreeSet::new();
-        while places.len() < count.min(all) {
-            places.insert(self.rng.rand_range(0..all as u32) as usize);
+    /// Up to `count` random present members except one.
+    pub(crate) fn random_members(&mut self, count: usize, except: &str) -> Vec<String> {
+        let eligible = |member: &&Member| member.record.state.is_present() && member.record.name != except;
+        let total = self.others.values().filter(eligible).count();
+        let mut indices = std::collections::BTreeSet::new();
+        while indices.len() < count.min(total) {
+            indices.insert(self.rng.rand_range(0..total as u32) as usize);
         }
-        let fit = self.others.values().filter(fit).enumerate().filter(|(place, _)| places.contains(place));
-        fit.map(|(_, member)| member.entry.name.clone()).collect()
+        let chosen =
+            self.others.values().filter(eligible).enumerate().filter(|(index, _)| indices.contains(index));
+        chosen.map(|(_, member)| member.record.name.clone()).collect()
     }
 
-    pub(crate) fn bare(&self, body: Body) -> Message {
-        let mut sender = self.me.clone();
+    /// A message without updates.
+    pub(crate) fn envelope(&self, body: Body) -> Message {
+        let mut sender = self.local.clone();
         if !self.announced {
             sender.incarnation = 0;
         }
-        Message { fleet: self.settings.fleet.clone(), sender, body, news: Vec::new() }
+        Message { fleet: self.settings.fleet.clone(), sender, body, updates: Vec::new() }
     }
 
-    /// Sends to an address, with so many of the news that wait.
+    /// Sends to an address, with `first` and up to `max_updates` queued updates piggybacked.
     pub(crate) fn send(
         &mut self,
         to: SocketAddr,
         body: Body,
-        riders: usize,
-        first: Option<Entry>,
-        out: &mut Vec<Action>,
+        max_updates: usize,
+        first: Option<MemberRecord>,
+        actions: &mut Vec<Action>,
     ) {
-        let mut message = self.bare(body);
+        let mut message = self.envelope(body);
         let alive = self.alive();
-        message.news.extend(first);
-        if riders > 0 && self.announced {
-            let room = wire::room(&message);
-            let name = message.news.first().map(|entry| entry.name.clone());
-            let more = self.news.take(room, riders, alive);
-            message.news.extend(more.into_iter().filter(|entry| Some(&entry.name) != name.as_ref()));
+        message.updates.extend(first);
+        if max_updates > 0 && self.announced {
+            let max_bytes = wire::remaining_bytes(&message);
+            let name = message.updates.first().map(|record| record.name.clone());
+            let queued = self.updates.take(max_bytes, max_updates, alive);
+            message.updates.extend(queued.into_iter().filter(|record| Some(&record.name) != name.as_ref()));
         }
-        out.push(Action::Send { to, bytes: wire::encode(&message) });
+        actions.push(Action::Send { to, bytes: wire::encode(&message) });
     }
 
-    /// Sends to a member; one that is suspected, or held dead, is told so first, so that it can speak up.
-    pub(crate) fn send_to(&mut self, name: &str, body: Body, riders: usize, out: &mut Vec<Action>) {
+    /// Sends to a member; a suspect or dead member is told of its state first, so that it can refute.
+    pub(crate) fn send_to_member(
+        &mut self,
+        name: &str,
+        body: Body,
+        max_updates: usize,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(member) = self.others.get(name) else { return };
-        let (to, held) = (member.entry.address, member.entry.clone());
-        let first = Some(held).filter(|held| matches!(held.state, State::Suspect | State::Dead));
-        self.send(to, body, riders, first, out);
+        let (to, known) = (member.record.address, member.record.clone());
+        let first =
+            Some(known).filter(|known| matches!(known.state, MemberState::Suspect | MemberState::Dead));
+        self.send(to, body, max_updates, first, actions);
     }
 
-    pub(crate) fn spread(&mut self, entry: Entry) {
-        self.news.add(entry);
-        if !self.gossips {
-            self.gossips = true;
-            self.set(GOSSIP, Due::Gossip);
+    pub(crate) fn queue_update(&mut self, record: MemberRecord) {
+        self.updates.add(record);
+        if !self.gossip_scheduled {
+            self.gossip_scheduled = true;
+            self.set_timer(GOSSIP_INTERVAL, TimerEvent::Gossip);
         }
     }
 
-    fn gossip_due(&mut self, out: &mut Vec<Action>) {
-        self.gossips = false;
-        self.gossip(GOSSIP_TO, out);
-        if !self.news.is_empty() && !self.others.is_empty() {
-            self.gossips = true;
-            self.set(GOSSIP, Due::Gossip);
+    fn run_gossip_round(&mut self, actions: &mut Vec<Action>) {
+        self.gossip_scheduled = false;
+        self.gossip(GOSSIP_FANOUT, actions);
+        if !self.updates.is_empty() && !self.others.is_empty() {
+            self.gossip_scheduled = true;
+            self.set_timer(GOSSIP_INTERVAL, TimerEvent::Gossip);
         }
     }
 
-    pub(crate) fn gossip(&mut self, to: usize, out: &mut Vec<Action>) {
-        for name in self.some(to, "") {
-            if self.news.is_empty() {
+    pub(crate) fn gossip(&mut self, fanout: usize, actions: &mut Vec<Action>) {
+        for name in self.random_members(fanout, "") {
+            if self.updates.is_empty() {
                 return;
             }
-            self.send_to(&name, Body::Gossip, usize::MAX, out);
+            self.send_to_member(&name, Body::Gossip, usize::MAX, actions);
         }
     }
 
-    // What is heard.
+    // Receiving.
 
-    fn heard(&mut self, bytes: &[u8], from: SocketAddr, out: &mut Vec<Action>) {
+    fn receive_datagram(&mut self, bytes: &[u8], from: SocketAddr, actions: &mut Vec<Action>) {
         let message = match wire::decode(bytes) {
             Ok(message) => message,
-            Err(bad) => {
+            Err(error) => {
                 let counts = &mut self.counts;
-                *match bad {
-                    Bad::Foreign => &mut counts.foreign,
-                    Bad::Newer => &mut counts.newer,
-                    Bad::Garbled => &mut counts.corrupted,
-                    Bad::UnknownKind => &mut counts.unknown_kind,
-                    Bad::Senseless => &mut counts.invalid,
+                *match error {
+                    DecodeError::Foreign => &mut counts.foreign,
+                    DecodeError::NewerVersion => &mut counts.newer,
+                    DecodeError::Corrupted => &mut counts.corrupted,
+                    DecodeError::UnknownKind => &mut counts.unknown_kind,
+                    DecodeError::Invalid => &mut counts.invalid,
                 } += 1;
                 return;
             }
@@ -472,122 +505,131 @@
             return;
         }
         self.counts.received += 1;
-        let Message { sender, body, news, .. } = message;
-        let mine = sender.name == self.me.name && sender.generation == self.me.generation;
-        if mine {
-            // It comes back by the address that it tells others.
-            if let Body::Duty(letter) = body {
-                return out.push(Action::DutyMessage(sender, letter));
+        let Message { sender, body, updates, .. } = message;
+        let sent_by_self = sender.name == self.local.name && sender.generation == self.local.generation;
+        if sent_by_self {
+            // Sent to its own advertised address.
+            if let Body::Duty(message) = body {
+                return actions.push(Action::DutyMessage(sender, message));
             }
-            return self.echoed(&body);
+            return self.receive_own_ping(&body);
         }
         if self.is_excluded() {
-            return self.heard_outside(&sender, &body, out);
+            return self.receive_while_excluded(&sender, &body, actions);
         }
-        if sender.name != self.me.name && sender.address == self.me.address {
-            return self.heard_namesake(&sender, &body, from, out);
+        if sender.name != self.local.name && sender.address == self.local.address {
+            return self.receive_from_address_claimant(&sender, &body, from, actions);
         }
-        // One that has not announced itself is told of others, and others are told nothing of it.
+        // A sender that has not announced itself receives updates, but is not spread to others.
         if sender.incarnation > 0 {
-            self.hear(sender.clone(), true, out);
+            self.merge_update(sender.clone(), true, actions);
         }
-        for entry in news {
-            self.hear(entry, false, out);
+        for record in updates {
+            self.merge_update(record, false, actions);
         }
-        self.body(sender, body, from, out);
+        self.handle_body(sender, body, from, actions);
     }
 
-    fn body(&mut self, sender: Entry, body: Body, from: SocketAddr, out: &mut Vec<Action>) {
+    fn handle_body(&mut self, sender: MemberRecord, body: Body, from: SocketAddr, actions: &mut Vec<Action>) {
         match body {
-            Body::Ping { to, .. } if to != self.me.name => self.counts.misdirected += 1,
+            Body::Ping { to, .. } if to != self.local.name => self.counts.misdirected += 1,
             Body::Ping { seq, .. } => {
-                let held = self.others.get(&sender.name).map(|member| member.entry.clone());
-                let first = held.filter(|held| matches!(held.state, State::Suspect | State::Dead));
-                self.send(sender.address, Body::Ack { seq }, RIDERS, first, out);
+                let known = self.others.get(&sender.name).map(|member| member.record.clone());
+                let first =
+                    known.filter(|known| matches!(known.state, MemberState::Suspect | MemberState::Dead));
+                self.send(sender.address, Body::Ack { seq }, MAX_PIGGYBACKED, first, actions);
             }
-            Body::Ack { seq } => self.acked(seq, &sender, out),
-            Body::PingFor { seq, to, address } => self.ping_for(&sender, seq, to, address, out),
-            Body::Nack { seq } => self.nacked(seq),
+            Body::Ack { seq } => self.receive_ack(seq, &sender, actions),
+            Body::PingReq { seq, to, address } => self.ping_indirectly(&sender, seq, to, address, actions),
+            Body::Nack { seq } => self.receive_nack(seq),
             Body::Gossip => {}
-            Body::Table { ask, entries } => {
-                if ask {
-                    self.tell_who_is_there(&sender, from, out);
+            Body::StateExchange { reply_requested, records } => {
+                if reply_requested {
+                    self.report_address_holder(&sender, from, actions);
                 }
-                self.table(sender, ask, entries, out);
+                self.receive_state(sender, reply_requested, records, actions);
+            }
+            Body::Duty(message) if sender.incarnation > 0 => {
+                actions.push(Action::DutyMessage(sender, message))
             }
-            Body::Duty(letter) if sender.incarnation > 0 => out.push(Action::DutyMessage(sender, letter)),
             Body::Duty(_) => {}
-            Body::Word { bytes } => {
-                let there =
-                    self.others.get(&sender.name).is_some_and(|member| member.entry.state.is_present());
-                if there {
-                    out.push(Action::PeerMessage { from: sender.name, bytes });
+            Body::PeerMessage { bytes } => {
+                let present =
+                    self.others.get(&sender.name).is_some_and(|member| member.record.state.is_present());
+                if present {
+                    actions.push(Action::PeerMessage { from: sender.name, bytes });
                 }
             }
         }
     }
 
-    // What is seen of it.
+    // Reporting.
 
-    /// Of this process its own.
+    /// Identifies this process, see [`MemberRecord::generation`].
     pub fn generation(&self) -> u64 {
-        self.me.generation
+        self.local.generation
     }
 
-    /// A line of the log, a bounded number of them.
-    pub(crate) fn say(&mut self, out: &mut Vec<Action>, text: String) {
-        let (left, at) = self.lines;
-        let left = (left + self.now.since(at).ms() / 1000.0 * LINES_PER_S).min(LINES);
-        self.lines = (left, self.now);
-        if left < 1.0 {
-            self.unsaid += 1;
+    /// Writes a log line, with a bounded rate.
+    pub(crate) fn log(&mut self, actions: &mut Vec<Action>, text: String) {
+        let (allowance, at) = self.log_allowance;
+        let allowance = (allowance + self.now.since(at).ms() / 1000.0 * LOG_LINES_PER_S).min(LOG_BURST_LINES);
+        self.log_allowance = (allowance, self.now);
+        if allowance < 1.0 {
+            self.suppressed_lines += 1;
             return;
         }
-        self.lines.0 -= 1.0;
-        let unsaid = std::mem::take(&mut self.unsaid);
-        let more = if unsaid > 0 { format!(" ({unsaid} changes before went unsaid)") } else { String::new() };
-        out.push(Action::Log(text + &more));
+        self.log_allowance.0 -= 1.0;
+        let suppressed = std::mem::take(&mut self.suppressed_lines);
+        let suffix = if suppressed > 0 {
+            format!(" ({suppressed} earlier log lines suppressed)")
+        } else {
+            String::new()
+        };
+        actions.push(Action::Log(text + &suffix));
     }
 
-    /// How many there usually are.
+    /// Usual number of members.
     pub fn expected(&self) -> usize {
-        let known = self.census.1;
-        let file = if self.joined { 0 } else { self.settings.instances };
-        known.max(self.settings.expected.unwrap_or(0)).max(file)
+        let known = self.totals.1;
+        let configured_tier = if self.joined { 0 } else { self.settings.instances };
+        known.max(self.settings.expected.unwrap_or(0)).max(configured_tier)
     }
 
-    fn count(&mut self) {
-        // Who is suspected may be cut off already: guards against two that both take themselves for the larger part.
-        let (there, whole) = (self.alive(), self.expected());
-        let wanted = divide_by(there, whole).max(divide_by(there - self.census.2, whole));
-        // Who hears that it is held dead is not heard: what it sees itself says nothing of what others take.
-        let unheard = self.told_dead.is_some_and(|at| self.now.since(at) < UNHEARD);
-        let wanted = if unheard { wanted.max(whole as f64) } else { wanted };
-        self.changed |= self.member_count.update(wanted, self.now);
+    fn update_member_count(&mut self) {
+        // Suspects may be cut off already, so the divisor without them counts too: otherwise both sides of a
+        // partition could take themselves for the majority.
+        let (present, total) = (self.alive(), self.expected());
+        let target = share_divisor(present, total).max(share_divisor(present - self.totals.2, total));
+        // A member that others declared dead is not heard by them: what it sees says nothing of the shares
+        // they take.
+        let unheard = self.reported_dead_at.is_some_and(|at| self.now.since(at) < REPORTED_DEAD_PERIOD);
+        let target = if unheard { target.max(total as f64) } else { target };
+        self.view_changed |= self.member_count.update(target, self.now);
     }
 
-    /// By how many the proxy divides what all share.
+    /// The number by which the proxy divides what the tier shares.
     pub fn member_count(&self) -> usize {
-        self.member_count.whole()
+        self.member_count.rounded()
     }
 
     pub fn view(&self, now: Time) -> View {
-        let seen = |entry: &Entry, since: Time| MemberStatus {
-            name: entry.name.clone(),
-            address: entry.address,
-            zone: entry.zone.clone(),
-            state: entry.state,
-            incarnation: entry.incarnation,
+        let status = |record: &MemberRecord, since: Time| MemberStatus {
+            name: record.name.clone(),
+            address: record.address,
+            zone: record.zone.clone(),
+            state: record.state,
+            incarnation: record.incarnation,
             state_age: now.since(since),
         };
         let mut members: Vec<MemberStatus> =
-            self.others.values().map(|member| seen(&member.entry, member.since)).collect();
-        members.push(seen(&self.me, Time::ORIGIN));
+            self.others.values().map(|member| status(&member.record, member.state_since)).collect();
+        members.push(status(&self.local, Time::ORIGIN));
         members.sort_by(|a, b| a.name.cmp(&b.name));
         let (alive, expected) = (self.alive(), self.expected());
         View {
             fleet: self.settings.fleet.clone(),
-            local_name: self.me.name.clone(),
+            local_name: self.local.name.clone(),
             members,
             alive,
             expected,
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -1,240 +1,254 @@
-//! Claims of members, weighed against what is held: of two the one with the higher incarnation holds, and of two with the
-//! same the graver one. Nobody but the member itself raises its incarnation, which is how it speaks up.
+//! Merging of updates about members into the local state, and suspicion. Of two contradicting claims the
+//! higher incarnation wins, and for equal incarnations the more severe state. Only the member itself raises
+//! its incarnation, which is how it refutes a suspicion.
 
 use std::collections::BTreeSet;
 
 use sparlug::time::{Span, Time};
 
-use crate::membership::{Action, Due, Member, Membership, SeededDefect, BEAT, GOSSIP_TO, MEMBERS_MOST};
-use crate::wire::{Body, Entry, State};
+use crate::membership::{
+    Action, Member, Membership, SeededDefect, TimerEvent, GOSSIP_FANOUT, MAX_MEMBERS, PROBE_INTERVAL,
+};
+use crate::wire::{Body, MemberRecord, MemberState};
 
-const SUSPECT_LEAST: f64 = 2.5; // beats that a suspicion lasts at the least, for each tenfold of the fleet
-const SUSPECT_MOST: f64 = 6.0; // times as long, while nobody else confirms it
-const CONFIRM: usize = 3; // others whose word makes it last no longer than the least
-const LAST_WORD: Span = Span::from_millis(400); // for who is told by oneself that it is about to be held dead
-const FORGET: Span = Span::from_millis(600_000); // the dead, who are reached for until then
-const FORGET_LEFT: Span = Span::from_millis(60_000);
+const MIN_SUSPICION_PROBE_INTERVALS: f64 = 2.5; // per factor of ten in the fleet's size
+const MAX_SUSPICION_RATIO: f64 = 6.0; // of the minimum, while no other member confirms the suspicion
+const CONFIRMATIONS_FOR_MIN_SUSPICION: usize = 3;
+const FINAL_REFUTATION_TIME: Span = Span::from_millis(400); // after the direct notice that precedes a death
+const DEAD_RETENTION: Span = Span::from_millis(600_000); // until then, reconnecting is attempted
+const LEFT_RETENTION: Span = Span::from_millis(60_000);
 
 #[derive(Debug)]
 pub(crate) struct Suspicion {
     pub began: Time,
     accusers: BTreeSet<u32>,
     pub until: Time,
-    /// It was told by this proxy itself, shortly before the end.
-    pub warned: bool,
+    /// The suspect was notified directly by this proxy shortly before the end.
+    pub notified: bool,
 }
 
 impl Membership {
-    /// Weighs a claim against what is held. `direct`: the member itself has just said it.
-    pub(crate) fn hear(&mut self, claim: Entry, direct: bool, out: &mut Vec<Action>) {
-        if claim.name == self.me.name {
-            return self.hear_of_me(claim, out);
-        }
-        if claim.address == self.me.address && claim.state.is_present() {
-            self.contest(&claim, out);
-            // Who is reached at the own address is not reached by this process: it is no member to probe.
-            if !self.others.contains_key(&claim.name) {
+    /// Merges a claim into the local state. `direct`: the member itself has just sent it.
+    pub(crate) fn merge_update(&mut self, update: MemberRecord, direct: bool, actions: &mut Vec<Action>) {
+        if update.name == self.local.name {
+            return self.merge_update_about_self(update, actions);
+        }
+        if update.address == self.local.address && update.state.is_present() {
+            self.open_conflict(&update, actions);
+            // A process at this proxy's own address can't be reached from here: it is not added as a member
+            // to probe.
+            if !self.others.contains_key(&update.name) {
                 return;
             }
         }
-        let Some(held) = self.others.get(&claim.name).map(|member| member.entry.clone()) else {
-            // Who is gone and was never known need not be.
-            if claim.state.is_present() {
-                self.take(claim.clone(), out);
-                if claim.state == State::Suspect {
-                    self.suspect(&claim.name, claim.by, out);
+        let Some(known) = self.others.get(&update.name).map(|member| member.record.clone()) else {
+            // An unknown member that is dead or has left is ignored.
+            if update.state.is_present() {
+                self.add_or_revive(update.clone(), actions);
+                if update.state == MemberState::Suspect {
+                    self.suspect(&update.name, update.accuser, actions);
                 }
             }
             return;
         };
-        let newer = claim.incarnation > held.incarnation;
-        let same = claim.incarnation == held.incarnation;
-        match (claim.state, held.state) {
-            (State::Alive, _) if newer => self.take(claim, out),
-            // It woke, or was cut off, and does not know how it is held: it is told, and speaks up.
-            (State::Alive, State::Dead) if direct && self.may_tell(&claim.name) => {
-                let entry = Some(held);
-                self.send(claim.address, Body::Gossip, 0, entry, out);
+        let newer = update.incarnation > known.incarnation;
+        let same = update.incarnation == known.incarnation;
+        match (update.state, known.state) {
+            (MemberState::Alive, _) if newer => self.add_or_revive(update, actions),
+            // It resumed after a pause or a partition and does not know that it was declared dead: it is
+            // notified, so that it can refute.
+            (MemberState::Alive, MemberState::Dead) if direct && self.may_notify(&update.name) => {
+                let first = Some(known);
+                self.send(update.address, Body::Gossip, 0, first, actions);
             }
-            (State::Suspect, _) if newer => {
-                self.take(Entry { state: State::Alive, ..claim.clone() }, out);
-                self.suspect(&claim.name, claim.by, out);
+            (MemberState::Suspect, _) if newer => {
+                self.add_or_revive(MemberRecord { state: MemberState::Alive, ..update.clone() }, actions);
+                self.suspect(&update.name, update.accuser, actions);
             }
-            (State::Suspect, State::Alive | State::Suspect) if same => {
-                self.suspect(&claim.name, claim.by, out)
+            (MemberState::Suspect, MemberState::Alive | MemberState::Suspect) if same => {
+                self.suspect(&update.name, update.accuser, actions)
             }
-            (State::Dead, State::Suspect) if newer || same => {
-                self.adopt(&claim);
-                self.hold_dead(&claim.name, out);
+            (MemberState::Dead, MemberState::Suspect) if newer || same => {
+                self.adopt_incarnation(&update);
+                self.declare_dead(&update.name, actions);
             }
-            // Nobody had suspected it here: it has the time to speak up that it would have had.
-            (State::Dead, State::Alive) if newer || same => {
-                self.adopt(&claim);
-                for by in [claim.by, 1, 2, 3] {
-                    self.suspect(&claim.name, by, out);
+            // It was not suspected here: it gets the time for a refutation that a confirmed suspicion allows.
+            (MemberState::Dead, MemberState::Alive) if newer || same => {
+                self.adopt_incarnation(&update);
+                for accuser in [update.accuser, 1, 2, 3] {
+                    self.suspect(&update.name, accuser, actions);
                 }
             }
-            (State::Left, State::Alive | State::Suspect | State::Dead) if newer || same => {
-                self.adopt(&claim);
-                self.leave_be(&claim.name, out);
+            (MemberState::Left, MemberState::Alive | MemberState::Suspect | MemberState::Dead)
+                if newer || same =>
+            {
+                self.adopt_incarnation(&update);
+                self.mark_left(&update.name, actions);
             }
             _ => {}
         }
     }
 
-    /// Guards against two that hold each other dead answering each other without an end.
-    fn may_tell(&mut self, name: &str) -> bool {
+    /// Limits the rate of notices, so that two members that consider each other dead don't answer each other
+    /// endlessly.
+    fn may_notify(&mut self, name: &str) -> bool {
         let now = self.now;
-        let member = self.others.get_mut(name).filter(|member| now.since(member.told) >= BEAT);
-        member.map(|member| member.told = now).is_some()
+        let member =
+            self.others.get_mut(name).filter(|member| now.since(member.notified_at) >= PROBE_INTERVAL);
+        member.map(|member| member.notified_at = now).is_some()
     }
 
-    fn adopt(&mut self, claim: &Entry) {
-        if let Some(member) = self.others.get_mut(&claim.name) {
-            member.entry.incarnation = member.entry.incarnation.max(claim.incarnation);
+    fn adopt_incarnation(&mut self, update: &MemberRecord) {
+        if let Some(member) = self.others.get_mut(&update.name) {
+            member.record.incarnation = member.record.incarnation.max(update.incarnation);
         }
     }
 
-    /// Takes a member in, or back.
-    fn take(&mut self, claim: Entry, out: &mut Vec<Action>) {
-        let entry = Entry { state: State::Alive, by: 0, ..claim };
-        let known = self.others.get(&entry.name).map(|member| member.entry.state);
-        if known.is_none() && self.others.len() >= MEMBERS_MOST {
+    /// Adds a member, or marks a known one alive.
+    fn add_or_revive(&mut self, update: MemberRecord, actions: &mut Vec<Action>) {
+        let record = MemberRecord { state: MemberState::Alive, accuser: 0, ..update };
+        let previous = self.others.get(&record.name).map(|member| member.record.state);
+        if previous.is_none() && self.others.len() >= MAX_MEMBERS {
             self.counts.over_capacity += 1;
             return;
         }
-        if known.is_none_or(|state| state != State::Alive) {
-            let before = known.map_or("new", State::name);
-            self.say(out, format!("member {} at {} is there ({before} before)", entry.name, entry.address));
+        if previous.is_none_or(|state| state != MemberState::Alive) {
+            let before = previous.map_or("new", MemberState::name);
+            self.log(
+                actions,
+                format!("member {} at {} is alive (previously {before})", record.name, record.address),
+            );
         }
-        if known.is_none_or(|state| !state.is_present()) {
-            let place = self.rng.rand_range(0..self.order.len() as u32 + 1) as usize;
-            self.order.insert(place, entry.name.clone());
+        if previous.is_none_or(|state| !state.is_present()) {
+            let index = self.rng.rand_range(0..self.probe_order.len() as u32 + 1) as usize;
+            self.probe_order.insert(index, record.name.clone());
         }
-        let since = self
+        let state_since = self
             .others
-            .get(&entry.name)
-            .filter(|_| known == Some(State::Alive))
-            .map_or(self.now, |m| m.since);
+            .get(&record.name)
+            .filter(|_| previous == Some(MemberState::Alive))
+            .map_or(self.now, |member| member.state_since);
         self.others.insert(
-            entry.name.clone(),
-            Member { entry: entry.clone(), since, suspicion: None, told: Time::ORIGIN },
+            record.name.clone(),
+            Member { record: record.clone(), state_since, suspicion: None, notified_at: Time::ORIGIN },
         );
-        if known != Some(State::Alive) {
-            self.recount();
+        if previous != Some(MemberState::Alive) {
+            self.update_totals();
         }
-        self.spread(entry);
+        self.queue_update(record);
     }
 
-    /// How long a suspicion lasts that so many have confirmed, beyond the one that raised it.
-    fn lasts(&self, confirmed: usize) -> Span {
+    /// How long a suspicion lasts that this many members have confirmed, not counting the one that raised it.
+    fn suspicion_duration(&self, confirmations: usize) -> Span {
         let alive = self.alive();
-        let least = BEAT.scaled(SUSPECT_LEAST * (alive as f64).log10().max(1.0));
-        let wanted = CONFIRM.min(alive.saturating_sub(2));
+        let min = PROBE_INTERVAL.scaled(MIN_SUSPICION_PROBE_INTERVALS * (alive as f64).log10().max(1.0));
+        let wanted = CONFIRMATIONS_FOR_MIN_SUSPICION.min(alive.saturating_sub(2));
         if wanted == 0 {
-            return least;
+            return min;
         }
-        let part = ((confirmed + 1) as f64).ln() / ((wanted + 1) as f64).ln();
-        least.scaled(SUSPECT_MOST - (SUSPECT_MOST - 1.0) * part.min(1.0))
+        let progress = ((confirmations + 1) as f64).ln() / ((wanted + 1) as f64).ln();
+        min.scaled(MAX_SUSPICION_RATIO - (MAX_SUSPICION_RATIO - 1.0) * progress.min(1.0))
     }
 
-    /// `by` accuses a member that is there.
-    pub(crate) fn suspect(&mut self, name: &str, by: u32, out: &mut Vec<Action>) {
+    /// Records that `accuser` suspects a present member.
+    pub(crate) fn suspect(&mut self, name: &str, accuser: u32, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(member) = self.others.get_mut(name).filter(|member| member.entry.state.is_present()) else {
+        let Some(member) = self.others.get_mut(name).filter(|member| member.record.state.is_present()) else {
             return;
         };
-        let first = member.entry.state == State::Alive;
+        let first = member.record.state == MemberState::Alive;
         if first {
-            (member.entry.state, member.since) = (State::Suspect, now);
+            (member.record.state, member.state_since) = (MemberState::Suspect, now);
             let accusers = BTreeSet::new();
-            member.suspicion = Some(Suspicion { began: now, accusers, until: now, warned: false });
+            member.suspicion = Some(Suspicion { began: now, accusers, until: now, notified: false });
         }
         let Some(suspicion) = &mut member.suspicion else { return };
-        if suspicion.accusers.len() > CONFIRM || !suspicion.accusers.insert(by) {
+        if suspicion.accusers.len() > CONFIRMATIONS_FOR_MIN_SUSPICION || !suspicion.accusers.insert(accuser) {
             return;
         }
-        let (confirmed, began) = (suspicion.accusers.len() - 1, suspicion.began);
-        let entry = Entry { by, ..member.entry.clone() };
-        let lasts = self.lasts(confirmed);
+        let (confirmations, began) = (suspicion.accusers.len() - 1, suspicion.began);
+        let record = MemberRecord { accuser, ..member.record.clone() };
+        let duration = self.suspicion_duration(confirmations);
         if let Some(suspicion) = self.others.get_mut(name).and_then(|member| member.suspicion.as_mut()) {
-            suspicion.until = if suspicion.warned { suspicion.until } else { began + lasts };
+            suspicion.until = if suspicion.notified { suspicion.until } else { began + duration };
         }
-        let left = (began + lasts).since(now);
-        self.set(left, Due::Suspicion(name.to_string()));
-        self.spread(entry);
+        let remaining = (began + duration).since(now);
+        self.set_timer(remaining, TimerEvent::SuspicionEnd(name.to_string()));
+        self.queue_update(record);
         if first {
-            self.recount();
-            self.say(out, format!("member {name} is suspected"));
+            self.update_totals();
+            self.log(actions, format!("member {name} is suspected"));
         }
     }
 
-    pub(crate) fn suspicion_over(&mut self, name: &str, out: &mut Vec<Action>) {
+    pub(crate) fn end_suspicion(&mut self, name: &str, actions: &mut Vec<Action>) {
         let now = self.now;
         let suspicion = self.others.get_mut(name).and_then(|member| member.suspicion.as_mut());
         let Some(suspicion) = suspicion.filter(|suspicion| suspicion.until <= now) else { return };
-        if suspicion.warned {
-            return self.hold_dead(name, out);
-        }
-        // News of it may never have come there: guards against one that is there being held dead unheard.
-        (suspicion.warned, suspicion.until) = (true, now + LAST_WORD);
-        self.set(LAST_WORD, Due::Suspicion(name.to_string()));
-        self.send_to(name, Body::Gossip, 0, out);
+        if suspicion.notified {
+            return self.declare_dead(name, actions);
+        }
+        // Gossip about the suspicion may not have reached the suspect. Without this direct notice, a running
+        // member could be declared dead although it never had a chance to refute.
+        (suspicion.notified, suspicion.until) = (true, now + FINAL_REFUTATION_TIME);
+        self.set_timer(FINAL_REFUTATION_TIME, TimerEvent::SuspicionEnd(name.to_string()));
+        self.send_to_member(name, Body::Gossip, 0, actions);
     }
 
-    fn hold_dead(&mut self, name: &str, out: &mut Vec<Action>) {
+    fn declare_dead(&mut self, name: &str, actions: &mut Vec<Action>) {
         self.counts.declared_dead += 1;
-        self.end(name, State::Dead, FORGET);
-        self.say(out, format!("member {name} is held dead"));
+        self.mark_absent(name, MemberState::Dead, DEAD_RETENTION);
+        self.log(actions, format!("member {name} is declared dead"));
     }
 
-    fn leave_be(&mut self, name: &str, out: &mut Vec<Action>) {
-        self.end(name, State::Left, FORGET_LEFT);
-        self.say(out, format!("member {name} has left"));
+    fn mark_left(&mut self, name: &str, actions: &mut Vec<Action>) {
+        self.mark_absent(name, MemberState::Left, LEFT_RETENTION);
+        self.log(actions, format!("member {name} has left"));
     }
 
-    fn end(&mut self, name: &str, state: State, forget: Span) {
+    fn mark_absent(&mut self, name: &str, state: MemberState, retention: Span) {
         let Some(member) = self.others.get_mut(name) else { return };
-        (member.entry.state, member.since, member.suspicion) = (state, self.now, None);
-        let entry = Entry { by: self.me.generation as u32, ..member.entry.clone() };
-        self.set(forget, Due::Forget(name.to_string(), entry.incarnation));
-        self.order.retain(|other| other != name);
-        self.spread(entry);
-        self.recount();
+        (member.record.state, member.state_since, member.suspicion) = (state, self.now, None);
+        let record = MemberRecord { accuser: self.local.generation as u32, ..member.record.clone() };
+        self.set_timer(retention, TimerEvent::Forget(name.to_string(), record.incarnation));
+        self.probe_order.retain(|other| other != name);
+        self.queue_update(record);
+        self.update_totals();
     }
 
-    /// Others hold something of this proxy: what is wrong is set right.
-    fn hear_of_me(&mut self, claim: Entry, out: &mut Vec<Action>) {
-        if claim.generation != self.me.generation {
-            if claim.state.is_present() && claim.address != self.me.address {
-                return self.contest(&claim, out);
+    /// Corrects what others claim about this proxy.
+    fn merge_update_about_self(&mut self, update: MemberRecord, actions: &mut Vec<Action>) {
+        if update.generation != self.local.generation {
+            if update.state.is_present() && update.address != self.local.address {
+                return self.open_conflict(&update, actions);
             }
             if self.settings.seeded_defect == Some(SeededDefect::LostIncarnation) {
                 return;
             }
-            // An earlier life of one's own.
-            if claim.incarnation >= self.me.incarnation {
-                self.me.incarnation = claim.incarnation + 1;
-                self.spread_me(out);
+            // The claim is about an earlier process of this member.
+            if update.incarnation >= self.local.incarnation {
+                self.local.incarnation = update.incarnation + 1;
+                self.spread_self(actions);
             }
             return;
         }
-        let against = matches!(claim.state, State::Suspect | State::Dead | State::Left) && !self.leaving;
-        if against
-            && claim.incarnation >= self.me.incarnation
+        let refutable = matches!(update.state, MemberState::Suspect | MemberState::Dead | MemberState::Left)
+            && !self.leaving;
+        if refutable
+            && update.incarnation >= self.local.incarnation
             && self.settings.seeded_defect != Some(SeededDefect::NoRefutation)
         {
-            self.me.incarnation = claim.incarnation + 1;
+            self.local.incarnation = update.incarnation + 1;
             self.counts.refuted += 1;
-            self.ail(1);
-            self.spread_me(out);
+            self.degrade_health(1);
+            self.spread_self(actions);
         }
     }
 
-    pub(crate) fn spread_me(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn spread_self(&mut self, actions: &mut Vec<Action>) {
         if self.announced {
-            self.spread(self.me.clone());
-            self.gossip(2 * GOSSIP_TO, out);
+            self.queue_update(self.local.clone());
+            self.gossip(2 * GOSSIP_FANOUT, actions);
         }
     }
 }
--- a/crates/fleet/src/updates.rs
+++ b/crates/fleet/src/updates.rs
@@ -1,77 +1,78 @@
-//! News on their way: what is claimed of a member rides on messages that go anyway, each claim a bounded number of times,
-//! the least told first.
+//! Gossip updates awaiting transmission. Updates are piggybacked on messages that are sent anyway; each is
+//! sent a bounded number of times, the least transmitted first.
 
 use std::collections::BTreeMap;
 
-use crate::wire::{size, Entry};
+use crate::wire::{encoded_size, MemberRecord};
 
-const TIMES: f64 = 3.0; // for each doubling of the fleet
+const TRANSMISSIONS_PER_DOUBLING: f64 = 3.0; // of the fleet's size
 
-/// How often one piece of news is passed on by one member, in a fleet of so many: 3 log2(n + 1), rounded up. (SWIM's
+/// How often one member transmits one update in a fleet of this size: 3 log2(n + 1), rounded up. (SWIM's
 /// bound on infection-style dissemination.)
-pub fn times(members: usize) -> u32 {
-    (TIMES * (members as f64 + 1.0).log2()).ceil() as u32
+pub fn max_transmissions(members: usize) -> u32 {
+    (TRANSMISSIONS_PER_DOUBLING * (members as f64 + 1.0).log2()).ceil() as u32
 }
 
-/// So many that do not fit are passed over before the rest waits for another message.
-const PASSED_OVER: usize = 8;
+/// After this many updates that do not fit, the rest waits for another message.
+const MAX_SKIPPED: usize = 8;
 
 #[derive(Debug, Default)]
-pub struct News {
-    /// By member: the claim, and its place in the order.
-    waiting: BTreeMap<String, (Entry, Place)>,
-    /// The least told first, and of those the oldest.
-    order: BTreeMap<Place, String>,
+pub struct UpdateQueue {
+    /// By member: the update and its position in the transmission order.
+    pending: BTreeMap<String, (MemberRecord, Position)>,
+    /// The least transmitted first, the oldest first among equals.
+    order: BTreeMap<Position, String>,
     added: u64,
 }
 
-/// How often a claim was told, and a number of its own.
-type Place = (u32, u64);
+/// Number of transmissions so far, and a unique sequence number.
+type Position = (u32, u64);
 
-impl News {
-    /// A newer claim takes an older one's place.
-    pub fn add(&mut self, entry: Entry) {
+impl UpdateQueue {
+    /// Queues an update; it replaces an earlier one about the same member.
+    pub fn add(&mut self, record: MemberRecord) {
         self.added += 1;
-        let (name, place) = (entry.name.clone(), (0, self.added));
-        if let Some((_, before)) = self.waiting.insert(name.clone(), (entry, place)) {
-            self.order.remove(&before);
+        let (name, position) = (record.name.clone(), (0, self.added));
+        if let Some((_, previous)) = self.pending.insert(name.clone(), (record, position)) {
+            self.order.remove(&previous);
         }
-        self.order.insert(place, name);
+        self.order.insert(position, name);
     }
 
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Takes what fits into so many bytes, and so many claims at the most. The work follows what is taken, not what waits.
-    pub fn take(&mut self, room: usize, most: usize, members: usize) -> Vec<Entry> {
-        let (mut left, mut passed, mut taken) = (room, 0, Vec::new());
-        let mut places = Vec::new();
-        for (place, name) in &self.order {
-            if taken.len() >= most || passed > PASSED_OVER {
+    /// Returns updates that fit into `max_bytes`, at most `max_updates` of them. The work is proportional to
+    /// what is returned, not to what is queued.
+    pub fn take(&mut self, max_bytes: usize, max_updates: usize, members: usize) -> Vec<MemberRecord> {
+        let (mut bytes_left, mut skipped, mut taken) = (max_bytes, 0, Vec::new());
+        let mut positions = Vec::new();
+        for (position, name) in &self.order {
+            if taken.len() >= max_updates || skipped > MAX_SKIPPED {
                 break;
             }
-            let Some((entry, _)) = self.waiting.get(name) else { continue };
-            let size = size(entry);
-            if size > left {
-                passed += 1;
+            let Some((record, _)) = self.pending.get(name) else { continue };
+            let size = encoded_size(record);
+            if size > bytes_left {
+                skipped += 1;
                 continue;
             }
-            left -= size;
-            taken.push(entry.clone());
-            places.push(*place);
+            bytes_left -= size;
+            taken.push(record.clone());
+            positions.push(*position);
         }
-        let last = times(members);
-        for (told, number) in places {
-            let Some(name) = self.order.remove(&(told, number)) else { continue };
-            if told + 1 >= last {
-                self.waiting.remove(&name);
+        let limit = max_transmissions(members);
+        for (transmissions, number) in positions {
+            let Some(name) = self.order.remove(&(transmissions, number)) else { continue };
+            if transmissions + 1 >= limit {
+                self.pending.remove(&name);
                 continue;
             }
-            if let Some((_, place)) = self.waiting.get_mut(&name) {
-                *place = (told + 1, number);
+            if let Some((_, position)) = self.pending.get_mut(&name) {
+                *position = (transmissions + 1, number);
             }
-            self.order.insert((told + 1, number), name);
+            self.order.insert((transmissions + 1, number), name);
         }
         taken
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,19 +1,19 @@
-//! What one proxy holds of the fleet, as a plain value.
+//! A snapshot of the membership as one proxy sees it.
 
 use std::net::SocketAddr;
 
 use sparlug::time::Span;
 
-use crate::wire::State;
+use crate::wire::MemberState;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
-    pub state: State,
+    pub state: MemberState,
     pub incarnation: u64,
-    /// How long it has been held so.
+    /// Time since the member entered its current state.
     pub state_age: Span,
 }
 
@@ -21,16 +21,16 @@
 pub struct View {
     pub fleet: String,
     pub local_name: String,
-    /// In the order of their names, the proxy itself among them.
+    /// Sorted by name, including the proxy itself.
     pub members: Vec<MemberStatus>,
-    /// How many are there, suspects and the proxy itself included.
+    /// Number of present members, including suspects and the proxy itself.
     pub alive: usize,
-    /// How many there usually are: what staff say, or what has been there of late.
+    /// Usual number of members: the configured number, or that of members recently present.
     pub expected: usize,
-    /// Whether more than half of those are there.
+    /// Whether more than half of the expected members are present.
     pub has_majority: bool,
-    /// By how many the proxy divides what all share.
+    /// The number by which the proxy divides what the tier shares.
     pub member_count: usize,
-    /// Another process claims its name or address: it takes no part.
+    /// Another process claims this proxy's name or address, so it does not take part in the fleet.
     pub excluded: bool,
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,5 +1,6 @@
-//! Messages between proxies: one datagram each, bounded, versioned, with their own length and checksum. A message names
-//! its sender; the address that it comes from proves nothing. What can't be read is told apart, to be counted.
+//! The wire format of messages between proxies. Each message is one datagram of bounded size with a version,
+//! its own length and a checksum. A message names its sender; its source address proves nothing. Decoding
+//! errors are distinguished so that each kind can be counted.
 
 use std::net::SocketAddr;
 
@@ -7,61 +8,62 @@
 
 use crate::duties::DutyMessage;
 
-/// Bytes of a datagram at the most: it passes every usual link in one piece.
+/// Datagrams of this size pass every common link unfragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Goes up when a message can't be read by those of before.
-pub const VERSION: u8 = 1;
-/// Bytes of a name, a zone or a fleet's name at the most.
-pub const NAME_MOST: usize = 64;
-/// Bytes of what the decisions say to each other, at the most.
-pub const WORD_MOST: usize = 256;
+/// Incremented when older versions can no longer read a message.
+pub const PROTOCOL_VERSION: u8 = 1;
+/// Limit for a member's name, a zone and a fleet's name.
+pub const MAX_NAME_BYTES: usize = 64;
+/// Limit for a message between the decision modules of two members.
+pub const MAX_PEER_MESSAGE_BYTES: usize = 256;
 
 const MAGIC: [u8; 2] = *b"sF";
-const HEAD: usize = 10; // magic, version, kind, length of the rest, checksum of all but itself
-const ENTRIES_MOST: usize = 64;
+const HEADER_BYTES: usize = 10; // magic, version, kind, payload length, checksum of everything but itself
+const MAX_RECORDS_PER_LIST: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     Alive,
     Suspect,
     Dead,
     Left,
 }
 
-impl State {
+impl MemberState {
     pub fn name(self) -> &'static str {
         match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Dead => "dead",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         }
     }
 
-    /// Whether one in this state is counted among those that are there.
+    /// Whether a member in this state counts as present.
     pub fn is_present(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// What is claimed of a member.
+/// What is claimed about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct MemberRecord {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
-    pub state: State,
-    /// Only the member itself raises it; 0 is said by one that has not announced itself yet.
+    pub state: MemberState,
+    /// Raised only by the member itself; 0 in messages of a member that has not announced itself yet.
     pub incarnation: u64,
-    /// Of each process its own, from when it began: two with one name are told apart by it, and the lower is the older.
+    /// Unique per process and derived from its start time: it distinguishes two processes with one name, and
+    /// the lower generation is the older process.
     pub generation: u64,
-    /// Of a suspicion: who raised it, as the low half of a life.
-    pub by: u32,
+    /// For a suspicion: the member that raised it, as the low half of its generation.
+    pub accuser: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// To a member by its name: another one at that address does not answer.
+    /// Addressed to a member by name: another member at the same address does not answer.
     Ping {
         seq: u32,
         to: String,
@@ -69,28 +71,29 @@
     Ack {
         seq: u32,
     },
-    /// Asks the receiver to ping somebody.
-    PingFor {
+    /// Asks the receiver to ping a third member (indirect probe).
+    PingReq {
         seq: u32,
         to: String,
         address: SocketAddr,
     },
-    /// The one that was to be pinged has not answered so far.
+    /// The target of an indirect probe has not answered so far.
     Nack {
         seq: u32,
     },
-    /// Nothing but the news that it bears.
+    /// Carries nothing but piggybacked updates.
     Gossip,
-    /// A piece of the sender's whole table; where `ask` is set, the receiver's is wanted in return.
-    Table {
-        ask: bool,
-        entries: Vec<Entry>,
+    /// A part of the sender's full membership state; with `reply_requested`, the receiver sends its own in
+    /// return.
+    StateExchange {
+        reply_requested: bool,
+        records: Vec<MemberRecord>,
     },
-    /// What the decisions of one say to those of another.
-    Word {
+    /// A message between the decision modules of two members.
+    PeerMessage {
         bytes: Vec<u8>,
     },
-    /// Of duties that one holds.
+    /// A message about leases on duties.
     Duty(DutyMessage),
 }
 
@@ -99,134 +102,140 @@
         match self {
             Body::Ping { .. } => 1,
             Body::Ack { .. } => 2,
-            Body::PingFor { .. } => 3,
+            Body::PingReq { .. } => 3,
             Body::Nack { .. } => 4,
             Body::Gossip => 5,
-            Body::Table { .. } => 6,
-            Body::Word { .. } => 7,
+            Body::StateExchange { .. } => 6,
+            Body::PeerMessage { .. } => 7,
             Body::Duty(_) => 8,
         }
     }
 }
 
-const KINDS: std::ops::RangeInclusive<u8> = 1..=8;
+const KNOWN_KINDS: std::ops::RangeInclusive<u8> = 1..=8;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     pub fleet: String,
-    pub sender: Entry,
+    pub sender: MemberRecord,
     pub body: Body,
-    pub news: Vec<Entry>,
+    /// Gossip updates piggybacked on the message.
+    pub updates: Vec<MemberRecord>,
 }
 
-/// Why bytes are no message for us.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// Not one of these messages at all.
+pub enum DecodeError {
+    /// Not a message of this protocol.
     Foreign,
-    /// Of a version that comes after this one.
-    Newer,
-    /// Cut, lengthened, or with a bit turned.
-    Garbled,
-    /// Of a kind that this version does not know.
+    /// A later protocol version.
+    NewerVersion,
+    /// Truncated, extended or with changed bits.
+    Corrupted,
+    /// A message kind that this version does not know.
     UnknownKind,
-    /// Its checksum is right, and what it says makes no sense.
-    Senseless,
+    /// The checksum is correct, but the content is not a valid message.
+    Invalid,
 }
 
-/// The bytes of a message. What is too long is cut by the senders: see [`room`].
+/// Encodes a message. Senders keep it within the size limit: see [`remaining_bytes`].
 pub fn encode(message: &Message) -> Vec<u8> {
-    let body = postcard::to_allocvec(message).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+    let payload = postcard::to_allocvec(message).unwrap_or_default();
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend(MAGIC);
-    bytes.extend([VERSION, message.body.kind()]);
-    bytes.extend((body.len() as u16).to_le_bytes());
+    bytes.extend([PROTOCOL_VERSION, message.body.kind()]);
+    bytes.extend((payload.len() as u16).to_le_bytes());
     bytes.extend([0; 4]);
-    bytes.extend(body);
+    bytes.extend(payload);
     let sum = checksum(&bytes);
-    bytes[6..HEAD].copy_from_slice(&sum.to_le_bytes());
+    bytes[6..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     bytes
 }
 
-/// Of all but the checksum itself. (CRC-32, IEEE.)
+/// CRC-32 (IEEE) of everything but the checksum itself.
 fn checksum(bytes: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(&bytes[..6]);
-    sum.update(&bytes[HEAD..]);
+    sum.update(&bytes[HEADER_BYTES..]);
     sum.finalize()
 }
 
-/// How many bytes an entry takes in a message.
-pub fn size(entry: &Entry) -> usize {
-    postcard::to_allocvec(entry).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
+/// How many bytes a record takes in a message.
+pub fn encoded_size(record: &MemberRecord) -> usize {
+    postcard::to_allocvec(record).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
 
-/// How many bytes of entries still fit into a message.
-pub fn room(message: &Message) -> usize {
+/// How many bytes of records still fit into a message.
+pub fn remaining_bytes(message: &Message) -> usize {
     MAX_DATAGRAM_BYTES.saturating_sub(encode(message).len() + 1)
 }
 
-/// Reads a message; the work is bounded by the length of a datagram.
-pub fn decode(bytes: &[u8]) -> Result<Message, Bad> {
-    if bytes.len() < HEAD || bytes[..2] != MAGIC {
-        return Err(Bad::Foreign);
+/// Decodes a message; the work is bounded by the length of a datagram.
+pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+    if bytes.len() < HEADER_BYTES || bytes[..2] != MAGIC {
+        return Err(DecodeError::Foreign);
     }
     let length = usize::from(u16::from_le_bytes([bytes[4], bytes[5]]));
     let sum = u32::from_le_bytes([bytes[6], bytes[7], bytes[8], bytes[9]]);
-    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() != HEAD + length || sum != checksum(bytes) {
-        return Err(Bad::Garbled);
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() != HEADER_BYTES + length || sum != checksum(bytes) {
+        return Err(DecodeError::Corrupted);
     }
-    // A version's head stays as it is for ever: what is newer is known to be whole.
-    if bytes[2] > VERSION {
-        return Err(Bad::Newer);
+    // The header layout is the same in all versions, so a message of a later version is known to be intact
+    // here.
+    if bytes[2] > PROTOCOL_VERSION {
+        return Err(DecodeError::NewerVersion);
     }
-    if bytes[2] == 0 || !KINDS.contains(&bytes[3]) {
-        return Err(Bad::UnknownKind);
+    if bytes[2] == 0 || !KNOWN_KINDS.contains(&bytes[3]) {
+        return Err(DecodeError::UnknownKind);
     }
     let (message, rest): (Message, &[u8]) =
-        postcard::take_from_bytes(&bytes[HEAD..]).map_err(|_| Bad::Senseless)?;
-    if !rest.is_empty() || message.body.kind() != bytes[3] || !makes_sense(&message) {
-        return Err(Bad::Senseless);
+        postcard::take_from_bytes(&bytes[HEADER_BYTES..]).map_err(|_| DecodeError::Invalid)?;
+    if !rest.is_empty() || message.body.kind() != bytes[3] || !is_valid(&message) {
+        return Err(DecodeError::Invalid);
     }
     Ok(message)
 }
 
-fn makes_sense(message: &Message) -> bool {
-    let fits = |text: &str| !text.is_empty() && text.len() <= NAME_MOST;
-    let entry = |entry: &Entry| {
-        fits(&entry.name)
-            && entry.zone.len() <= NAME_MOST
-            && entry.address.port() != 0
-            && !entry.address.ip().is_unspecified()
+fn is_valid(message: &Message) -> bool {
+    let valid_name = |text: &str| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
+    let valid_record = |record: &MemberRecord| {
+        valid_name(&record.name)
+            && record.zone.len() <= MAX_NAME_BYTES
+            && record.address.port() != 0
+            && !record.address.ip().is_unspecified()
     };
-    let body = match &message.body {
-        Body::Ping { to, .. } => fits(to),
-        Body::PingFor { to, address, .. } => fits(to) && address.port() != 0,
-        Body::Table { entries, .. } => entries.len() <= ENTRIES_MOST && entries.iter().all(entry),
-        Body::Word { bytes } => bytes.len() <= WORD_MOST,
-        Body::Duty(letter) => letter.makes_sense(NAME_MOST),
+    let valid_body = match &message.body {
+        Body::Ping { to, .. } => valid_name(to),
+        Body::PingReq { to, address, .. } => valid_name(to) && address.port() != 0,
+        Body::StateExchange { records, .. } => {
+            records.len() <= MAX_RECORDS_PER_LIST && records.iter().all(valid_record)
+        }
+        Body::PeerMessage { bytes } => bytes.len() <= MAX_PEER_MESSAGE_BYTES,
+        Body::Duty(message) => message.is_valid(MAX_NAME_BYTES),
         Body::Ack { .. } | Body::Nack { .. } | Body::Gossip => true,
     };
-    let news = message.news.len() <= ENTRIES_MOST && message.news.iter().all(entry);
-    fits(&message.fleet) && entry(&message.sender) && body && news
+    let valid_updates =
+        message.updates.len() <= MAX_RECORDS_PER_LIST && message.updates.iter().all(valid_record);
+    valid_name(&message.fleet) && valid_record(&message.sender) && valid_body && valid_updates
 }
 
-/// Cuts a table into pieces that each fit into one datagram beside what `bare` holds.
-pub fn pieces(bare: &Message, entries: &[Entry]) -> Vec<Vec<Entry>> {
-    let room = room(bare);
-    let mut pieces = vec![Vec::new()];
-    let mut left = room;
-    for entry in entries {
-        let size = size(entry);
-        let full = size > left || pieces.last().is_some_and(|piece: &Vec<Entry>| piece.len() >= ENTRIES_MOST);
+/// Splits records into chunks that each fit into one datagram together with the content of `envelope`.
+pub fn split_records(envelope: &Message, records: &[MemberRecord]) -> Vec<Vec<MemberRecord>> {
+    let capacity = remaining_bytes(envelope);
+    let mut chunks = vec![Vec::new()];
+    let mut bytes_left = capacity;
+    for record in records {
+        let size = encoded_size(record);
+        let full = size > bytes_left
+            || chunks.last().is_some_and(|chunk: &Vec<MemberRecord>| chunk.len() >= MAX_RECORDS_PER_LIST);
         if full {
-            pieces.push(Vec::new());
-            left = room;
+            chunks.push(Vec::new());
+            bytes_left = capacity;
         }
-        left = left.saturating_sub(size);
-        if let Some(piece) = pieces.last_mut() {
-            piece.push(entry.clone());
+        bytes_left = bytes_left.saturating_sub(size);
+        if let Some(chunk) = chunks.last_mut() {
+            chunk.push(record.clone());
         }
     }
-    pieces
+    chunks
 }
