--- a/crates/fleet/tests/leases.rs
+++ b/crates/fleet/tests/leases.rs
@@ -1,5 +1,6 @@
-//! Never two: every order of events in small cases, and drawn histories of larger ones, over voters and holders as they
-//! are, with clocks that run 1% apart. Three planted mistakes are found by both.
+//! No two processes act for one duty at the same time: checked in every order of events of small cases and in
+//! random histories of larger ones, with the real voters and claims and clocks that differ from true time by
+//! up to 1%. Both methods find three seeded defects.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
@@ -9,26 +10,26 @@
 
 use oorandom::Rand32;
 use sparlug::time::{Span, Time};
-use sparlug_fleet::leases::{Electorate, Fence, SeededDefect, Tenure, Voter};
+use sparlug_fleet::leases::{Fence, LeaseClaim, SeededDefect, Voter, VoterSets};
 
 const LEASE: Span = Span::from_millis(100);
 const DUTY: u64 = 1;
-const BEGAN: i64 = 1_000_000_000; // microseconds that every clock shows at the world's 0
+const CLOCK_START_US: i64 = 1_000_000_000; // shown by every clock at true time 0
 const SEEDED_DEFECTS: [SeededDefect; 3] =
-    [SeededDefect::NoSilence, SeededDefect::FromAnswer, SeededDefect::NoMargin];
+    [SeededDefect::NoSilence, SeededDefect::LeaseFromReply, SeededDefect::NoMargin];
 
 fn voter_address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7100 + n as u16))
 }
 
-/// Clocks in thousandths of true time.
-fn local(at: i64, rate: i64) -> Time {
-    Time::from_ms((BEGAN + at * rate / 1000) as f64 / 1000.0)
+/// What a clock shows at a true time; its rate is in thousandths of true time.
+fn local_time(at: i64, rate: i64) -> Time {
+    Time::from_ms((CLOCK_START_US + at * rate / 1000) as f64 / 1000.0)
 }
 
-/// The first true microsecond at which a clock of this rate shows it.
-fn shown(time: Time, rate: i64) -> i64 {
-    let wanted = (time.since(Time::ORIGIN).ms() * 1000.0).round() as i64 - BEGAN;
+/// The first true microsecond at which a clock of this rate shows this time.
+fn true_time(time: Time, rate: i64) -> i64 {
+    let wanted = (time.since(Time::ORIGIN).ms() * 1000.0).round() as i64 - CLOCK_START_US;
     let mut at = wanted * 1000 / rate;
     while at * rate / 1000 < wanted {
         at += 1;
@@ -37,263 +38,274 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Letter {
-    Ask { by: usize, seq: u32, term: u64, voter: usize },
-    Granted { to: usize, seq: u32, term: u64, voter: usize },
+enum Message {
+    Request { by: usize, seq: u32, term: u64, voter: usize },
+    Grant { to: usize, seq: u32, term: u64, voter: usize },
     Release { by: usize, term: u64, voter: usize },
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     at: i64,
     voters: Vec<Voter>,
-    holders: Vec<Tenure>,
-    seqs: Vec<u32>,
-    out: BTreeSet<Letter>,
-    asks: u32,
+    holders: Vec<LeaseClaim>,
+    last_seqs: Vec<u32>,
+    in_flight: BTreeSet<Message>,
+    requests: u32,
     restarts: u32,
-    twice: u32,
+    duplicates: u32,
     releases: u32,
     highest: u64,
 }
 
-/// What is fixed in a case: rates of the voters' and the holders' clocks, and how much may happen.
+/// Parameters of a case: the rates of the voters' and the holders' clocks, and limits on the events.
 struct Case {
     voters: Vec<i64>,
     holders: Vec<i64>,
-    asks: u32,
+    requests: u32,
     restarts: u32,
-    twice: u32,
+    duplicates: u32,
     releases: u32,
-    lasts: i64,
-    /// Who is refused gives back at once what others have granted it.
-    abandons: bool,
+    end: i64,
+    /// A refused process at once releases what other voters have granted it.
+    abandon_when_refused: bool,
     seeded_defect: Option<SeededDefect>,
 }
 
 impl Case {
     fn small(holders: Vec<i64>, voters: i64, seeded_defect: Option<SeededDefect>) -> Case {
-        let (asks, restarts, twice, releases, lasts, abandons) = (2, 1, 0, 0, 130_000, false);
+        let (requests, restarts, duplicates, releases, end, abandon_when_refused) =
+            (2, 1, 0, 0, 130_000, false);
         Case {
             voters: vec![voters; 3],
             holders,
-            asks,
+            requests,
             restarts,
-            twice,
+            duplicates,
             releases,
-            lasts,
-            abandons,
+            end,
+            abandon_when_refused,
             seeded_defect,
         }
     }
 
-    fn electorate(&self) -> Electorate {
-        Electorate::new(&[(0..self.voters.len()).map(voter_address).collect()])
+    fn voter_sets(&self) -> VoterSets {
+        VoterSets::new(&[(0..self.voters.len()).map(voter_address).collect()])
     }
 
-    fn begin(&self) -> World {
-        // The voters have been there for long.
+    fn initial_state(&self) -> SystemState {
+        // The voters started long ago, so they are not silent.
         let voters =
-            self.voters.iter().map(|rate| Voter::new(local(-200_000, *rate), LEASE, self.seeded_defect));
-        World {
+            self.voters.iter().map(|rate| Voter::new(local_time(-200_000, *rate), LEASE, self.seeded_defect));
+        SystemState {
             at: 0,
             voters: voters.collect(),
-            holders: vec![Tenure::default(); self.holders.len()],
-            seqs: vec![0; self.holders.len()],
-            out: BTreeSet::new(),
-            asks: 0,
+            holders: vec![LeaseClaim::default(); self.holders.len()],
+            last_seqs: vec![0; self.holders.len()],
+            in_flight: BTreeSet::new(),
+            requests: 0,
             restarts: 0,
-            twice: 0,
+            duplicates: 0,
             releases: 0,
             highest: 0,
         }
     }
 
-    fn acting(&self, world: &World) -> Vec<(usize, u64)> {
-        let all = world.holders.iter().zip(&self.holders).enumerate();
-        all.filter_map(|(n, (held, rate))| Some((n, held.term(local(world.at, *rate))?))).collect()
+    fn acting(&self, state: &SystemState) -> Vec<(usize, u64)> {
+        let all = state.holders.iter().zip(&self.holders).enumerate();
+        all.filter_map(|(n, (claim, rate))| Some((n, claim.held_term(local_time(state.at, *rate))?)))
+            .collect()
     }
 
-    /// What is wrong with a world, if anything: two act, or one under a term that is not above those before.
-    fn wrong(&self, world: &mut World, before: &World) -> Option<String> {
-        let acting = self.acting(world);
+    /// The violated property of a state, if any: two processes act, or one acts under a term lower than an
+    /// earlier one.
+    fn violation(&self, state: &mut SystemState, before: &SystemState) -> Option<String> {
+        let acting = self.acting(state);
         if acting.len() > 1 {
-            return Some(format!("at {} us these act: {acting:?}", world.at));
+            return Some(format!("at {} us these processes act: {acting:?}", state.at));
         }
         let (holder, term) = *acting.first()?;
-        let was = self.acting(before).contains(&(holder, term));
-        if !was && term < world.highest {
-            return Some(format!("at {} us {holder} acts under {term} after {}", world.at, world.highest));
+        let acted_before = self.acting(before).contains(&(holder, term));
+        if !acted_before && term < state.highest {
+            return Some(format!("at {} us {holder} acts under {term} after {}", state.at, state.highest));
         }
-        world.highest = world.highest.max(term);
+        state.highest = state.highest.max(term);
         None
     }
 
-    /// The next moment at which anything ends, or the one right before it.
-    fn next(&self, world: &World) -> Option<i64> {
-        let mut ends = Vec::new();
-        for (voter, rate) in world.voters.iter().zip(&self.voters) {
-            ends.extend(voter.ends().into_iter().map(|end| shown(end, *rate)));
+    /// The next true time at which anything expires, or the microsecond right before it.
+    fn next_expiry(&self, state: &SystemState) -> Option<i64> {
+        let mut expiries = Vec::new();
+        for (voter, rate) in state.voters.iter().zip(&self.voters) {
+            expiries.extend(voter.expiry_times().into_iter().map(|end| true_time(end, *rate)));
         }
-        for (holder, rate) in world.holders.iter().zip(&self.holders) {
-            ends.extend(holder.ends().map(|end| shown(end, *rate)));
+        for (holder, rate) in state.holders.iter().zip(&self.holders) {
+            expiries.extend(holder.expires_at().map(|end| true_time(end, *rate)));
         }
-        let moments = ends.into_iter().flat_map(|end| [end - 1, end]);
-        moments.filter(|at| *at > world.at && *at <= self.lasts).min()
+        let times = expiries.into_iter().flat_map(|end| [end - 1, end]);
+        times.filter(|at| *at > state.at && *at <= self.end).min()
     }
 
-    fn ask(&self, world: &mut World, by: usize) {
-        world.asks += 1;
-        world.seqs[by] += 1;
-        let seq = world.seqs[by];
-        let term = world.holders[by].ask(local(world.at, self.holders[by]), seq);
-        world.out.extend((0..self.voters.len()).map(|voter| Letter::Ask { by, seq, term, voter }));
+    fn send_request(&self, state: &mut SystemState, by: usize) {
+        state.requests += 1;
+        state.last_seqs[by] += 1;
+        let seq = state.last_seqs[by];
+        let term = state.holders[by].start_request(local_time(state.at, self.holders[by]), seq);
+        state.in_flight.extend((0..self.voters.len()).map(|voter| Message::Request { by, seq, term, voter }));
     }
 
-    fn restart(&self, world: &mut World, voter: usize) {
-        world.restarts += 1;
-        world.voters[voter] = Voter::new(local(world.at, self.voters[voter]), LEASE, self.seeded_defect);
+    fn restart(&self, state: &mut SystemState, voter: usize) {
+        state.restarts += 1;
+        state.voters[voter] = Voter::new(local_time(state.at, self.voters[voter]), LEASE, self.seeded_defect);
     }
 
-    fn release(&self, world: &mut World, by: usize) {
-        world.releases += 1;
-        if let Some(term) = world.holders[by].stop() {
-            world.out.extend(self.back(by, term));
+    fn release(&self, state: &mut SystemState, by: usize) {
+        state.releases += 1;
+        if let Some(term) = state.holders[by].stop() {
+            state.in_flight.extend(self.release_messages(by, term));
         }
     }
 
-    fn back(&self, by: usize, term: u64) -> impl Iterator<Item = Letter> + use<> {
-        (0..self.voters.len()).map(move |voter| Letter::Release { by, term, voter })
+    fn release_messages(&self, by: usize, term: u64) -> impl Iterator<Item = Message> + use<> {
+        (0..self.voters.len()).map(move |voter| Message::Release { by, term, voter })
     }
 
-    fn deliver(&self, world: &mut World, letter: &Letter, voters: &Electorate) {
-        match *letter {
-            Letter::Ask { by, seq, term, voter } => {
-                let now = local(world.at, self.voters[voter]);
+    fn deliver(&self, state: &mut SystemState, message: &Message, voters: &VoterSets) {
+        match *message {
+            Message::Request { by, seq, term, voter } => {
+                let now = local_time(state.at, self.voters[voter]);
                 let holder = (by as u64 + 10, ["a", "b", "c", "d", "e"][by]);
-                match world.voters[voter].ask(now, DUTY, term, holder, LEASE) {
-                    Some(answer) if answer.granted => {
-                        world.out.insert(Letter::Granted { to: by, seq, term, voter });
+                match state.voters[voter].handle_request(now, DUTY, term, holder, LEASE) {
+                    Some(reply) if reply.granted => {
+                        state.in_flight.insert(Message::Grant { to: by, seq, term, voter });
                     }
-                    // Nothing but the next term hangs on it: it comes at once.
-                    Some(answer) => {
-                        world.holders[by].refused(answer.term);
-                        let now = local(world.at, self.holders[by]);
-                        let gives = self.abandons.then(|| world.holders[by].abandon(now, Span::ZERO));
-                        if let Some(term) = gives.flatten() {
-                            world.out.extend(self.back(by, term));
+                    // A refusal only affects the next term, so it is delivered at once.
+                    Some(reply) => {
+                        state.holders[by].record_refusal(reply.term);
+                        let now = local_time(state.at, self.holders[by]);
+                        let abandoned = self
+                            .abandon_when_refused
+                            .then(|| state.holders[by].abandon_request(now, Span::ZERO));
+                        if let Some(term) = abandoned.flatten() {
+                            state.in_flight.extend(self.release_messages(by, term));
                         }
                     }
                     None => {}
                 }
             }
-            Letter::Granted { to, seq, term, voter } => {
-                let now = local(world.at, self.holders[to]);
-                let by = voter_address(voter);
-                world.holders[to].granted(now, (seq, term), by, voters, LEASE, self.seeded_defect);
+            Message::Grant { to, seq, term, voter } => {
+                let now = local_time(state.at, self.holders[to]);
+                let address = voter_address(voter);
+                state.holders[to].record_grant(now, (seq, term), address, voters, LEASE, self.seeded_defect);
             }
-            Letter::Release { by, term, voter } => world.voters[voter].release(DUTY, term, by as u64 + 10),
+            Message::Release { by, term, voter } => state.voters[voter].release(DUTY, term, by as u64 + 10),
         }
     }
 
-    /// Forgets letters that nobody would heed any more: answers to a question before the last one.
-    fn prune(&self, world: &mut World) {
-        let seqs = &world.seqs;
-        world.out.retain(|letter| !matches!(letter, Letter::Granted { to, seq, .. } if seqs[*to] != *seq));
+    /// Drops messages without effect: grants of a request before the last one.
+    fn prune(&self, state: &mut SystemState) {
+        let last_seqs = &state.last_seqs;
+        state
+            .in_flight
+            .retain(|message| !matches!(message, Message::Grant { to, seq, .. } if last_seqs[*to] != *seq));
     }
 
-    /// All worlds that can come next.
-    fn steps(&self, world: &World, voters: &Electorate) -> Vec<World> {
-        let mut all = Vec::new();
-        let mut step = |change: &dyn Fn(&mut World)| {
-            let mut next = world.clone();
+    /// All states that can follow.
+    fn successors(&self, state: &SystemState, voters: &VoterSets) -> Vec<SystemState> {
+        let mut states = Vec::new();
+        let mut step = |change: &dyn Fn(&mut SystemState)| {
+            let mut next = state.clone();
             change(&mut next);
-            all.push(next);
+            states.push(next);
         };
         for by in 0..self.holders.len() {
-            if world.asks < self.asks {
-                step(&|world| self.ask(world, by));
+            if state.requests < self.requests {
+                step(&|state| self.send_request(state, by));
             }
-            if world.releases < self.releases && world.holders[by].ends().is_some() {
-                step(&|world| self.release(world, by));
+            if state.releases < self.releases && state.holders[by].expires_at().is_some() {
+                step(&|state| self.release(state, by));
             }
         }
-        // Voters are alike: which of them restarts makes no difference.
-        if world.restarts < self.restarts {
-            step(&|world| self.restart(world, 0));
+        // The voters are identical, so it makes no difference which of them restarts.
+        if state.restarts < self.restarts {
+            step(&|state| self.restart(state, 0));
         }
-        for letter in &world.out {
-            step(&|world| {
-                world.out.remove(letter);
-                self.deliver(world, letter, voters);
+        for message in &state.in_flight {
+            step(&|state| {
+                state.in_flight.remove(message);
+                self.deliver(state, message, voters);
             });
-            if world.twice < self.twice {
-                step(&|world| {
-                    world.twice += 1;
-                    self.deliver(world, letter, voters);
+            if state.duplicates < self.duplicates {
+                step(&|state| {
+                    state.duplicates += 1;
+                    self.deliver(state, message, voters);
                 });
             }
         }
-        if let Some(at) = self.next(world) {
-            step(&|world| world.at = at);
+        if let Some(at) = self.next_expiry(state) {
+            step(&|state| state.at = at);
         }
-        all
+        states
     }
 
-    /// Every order of events, each world once; how many there are, or what is wrong in one.
-    fn all(&self) -> Result<usize, String> {
-        let voters = self.electorate();
-        let print = |world: &World| {
+    /// Explores every order of events, each state once; returns the number of states, or the first violation.
+    fn explore(&self) -> Result<usize, String> {
+        let voters = self.voter_sets();
+        let fingerprint = |state: &SystemState| {
             let mut hasher = DefaultHasher::new();
-            world.hash(&mut hasher);
+            state.hash(&mut hasher);
             hasher.finish()
         };
-        let first = self.begin();
-        let mut seen = HashSet::from([print(&first)]);
-        let mut left = vec![first];
-        while let Some(world) = left.pop() {
-            for mut next in self.steps(&world, &voters) {
-                if let Some(wrong) = self.wrong(&mut next, &world) {
-                    return Err(wrong);
+        let initial = self.initial_state();
+        let mut seen = HashSet::from([fingerprint(&initial)]);
+        let mut unexplored = vec![initial];
+        while let Some(state) = unexplored.pop() {
+            for mut next in self.successors(&state, &voters) {
+                if let Some(violation) = self.violation(&mut next, &state) {
+                    return Err(violation);
                 }
                 self.prune(&mut next);
-                if seen.insert(print(&next)) {
-                    left.push(next);
+                if seen.insert(fingerprint(&next)) {
+                    unexplored.push(next);
                 }
             }
         }
         Ok(seen.len())
     }
 
-    /// One drawn history. How often the holder changed, or what went wrong.
-    fn history(&self, seed: u64, events: usize) -> Result<usize, String> {
-        let (voters, mut rng, mut world) = (self.electorate(), Rand32::new(seed), self.begin());
+    /// Runs one random history; returns how often the holder changed, or the first violation.
+    fn random_history(&self, seed: u64, events: usize) -> Result<usize, String> {
+        let (voters, mut rng, mut state) = (self.voter_sets(), Rand32::new(seed), self.initial_state());
         let (mut changes, mut last, mut fence) = (0, None, Fence::default());
         for _ in 0..events {
-            let before = world.clone();
-            let mut draw = |below: usize| rng.rand_range(0..below.max(1) as u32) as usize;
-            match draw(20) {
-                0 => self.ask(&mut world, draw(self.holders.len())),
-                3 if draw(4) == 0 => self.restart(&mut world, draw(self.voters.len())),
-                4 if draw(3) == 0 => self.release(&mut world, draw(self.holders.len())),
-                5 => world.at += draw(30_000) as i64,
-                6 => world.at = self.next(&world).unwrap_or(world.at),
+            let before = state.clone();
+            let mut random_below = |below: usize| rng.rand_range(0..below.max(1) as u32) as usize;
+            match random_below(20) {
+                0 => self.send_request(&mut state, random_below(self.holders.len())),
+                3 if random_below(4) == 0 => self.restart(&mut state, random_below(self.voters.len())),
+                4 if random_below(3) == 0 => self.release(&mut state, random_below(self.holders.len())),
+                5 => state.at += random_below(30_000) as i64,
+                6 => state.at = self.next_expiry(&state).unwrap_or(state.at),
                 _ => {
-                    let Some(letter) = world.out.iter().nth(draw(world.out.len())).cloned() else { continue };
-                    // Some are lost, and some come again.
-                    if draw(10) > 0 {
-                        world.out.remove(&letter);
+                    let Some(message) =
+                        state.in_flight.iter().nth(random_below(state.in_flight.len())).cloned()
+                    else {
+                        continue;
+                    };
+                    // Some messages are lost, and some are duplicated.
+                    if random_below(10) > 0 {
+                        state.in_flight.remove(&message);
                     }
-                    if draw(10) > 0 {
-                        self.deliver(&mut world, &letter, &voters);
+                    if random_below(10) > 0 {
+                        self.deliver(&mut state, &message, &voters);
                     }
                 }
             }
-            if let Some(wrong) = self.wrong(&mut world, &before) {
-                return Err(format!("seed {seed}: {wrong}"));
+            if let Some(violation) = self.violation(&mut state, &before) {
+                return Err(format!("seed {seed}: {violation}"));
             }
-            if let Some((holder, term)) = self.acting(&world).first().copied() {
-                assert!(fence.takes(DUTY, term));
+            if let Some((holder, term)) = self.acting(&state).first().copied() {
+                assert!(fence.accepts(DUTY, term));
                 changes += usize::from(last.is_some_and(|last| last != holder));
                 last = Some(holder);
             }
@@ -302,56 +314,69 @@
     }
 }
 
-/// Clocks of holders and voters at their worst, both ways round.
+/// The most extreme clock rates of holders and voters, in both directions.
 const RATES: [([i64; 2], i64); 3] = [([990, 1010], 1010), ([1010, 990], 990), ([990, 990], 1010)];
 
 #[test]
-fn in_no_order_of_events_two_act() {
+fn no_two_act_in_any_order_of_events() {
     let (holders, voters) = RATES[0];
-    let states = Case::small(holders.to_vec(), voters, None).all().unwrap();
-    println!("3 voters, 2 that ask, 2 questions, 1 restart: {states} states");
+    let states = Case::small(holders.to_vec(), voters, None).explore().unwrap();
+    println!("3 voters, 2 holders, 2 requests, 1 restart: {states} states");
     assert!(states > 10_000);
 }
 
 #[test]
 #[ignore = "minutes and gigabytes; run with --ignored in a release build"]
-fn in_no_order_of_more_events_two_act() {
+fn no_two_act_in_any_order_of_more_events() {
     for (holders, voters) in RATES {
         let small = || Case::small(holders.to_vec(), voters, None);
-        let case = Case { abandons: true, ..small() };
-        println!("2 that ask, 2 questions, 1 restart, some given back: {} states", case.all().unwrap());
-        let case = Case { twice: 1, ..small() };
-        println!("2 that ask, 2 questions, 1 restart, 1 duplicate: {} states", case.all().unwrap());
+        let case = Case { abandon_when_refused: true, ..small() };
+        println!(
+            "2 holders, 2 requests, 1 restart, minority grants released: {} states",
+            case.explore().unwrap()
+        );
+        let case = Case { duplicates: 1, ..small() };
+        println!("2 holders, 2 requests, 1 restart, 1 duplicate: {} states", case.explore().unwrap());
         let case = Case { restarts: 0, releases: 1, ..small() };
-        println!("2 that ask, 2 questions, 1 release: {} states", case.all().unwrap());
+        println!("2 holders, 2 requests, 1 release: {} states", case.explore().unwrap());
     }
     let case = Case { restarts: 0, ..Case::small(vec![990, 1010, 990], 1010, None) };
-    println!("3 that ask, 2 questions: {} states", case.all().unwrap());
+    println!("3 holders, 2 requests: {} states", case.explore().unwrap());
 }
 
 #[test]
-fn each_planted_mistake_is_found_among_all_orders() {
+fn each_seeded_defect_is_found_among_all_orders() {
     for seeded_defect in SEEDED_DEFECTS {
         let found = RATES.iter().any(|(holders, voters)| {
             let case = Case::small(holders.to_vec(), *voters, Some(seeded_defect));
-            case.all().inspect_err(|wrong| println!("{seeded_defect:?}: {wrong}")).is_err()
+            case.explore().inspect_err(|violation| println!("{seeded_defect:?}: {violation}")).is_err()
         });
         assert!(found, "{seeded_defect:?} is not found");
     }
 }
 
-/// A larger case, its clocks drawn.
-fn drawn(seed: u64, seeded_defect: Option<SeededDefect>) -> Case {
+/// A larger case with random clock rates.
+fn random_case(seed: u64, seeded_defect: Option<SeededDefect>) -> Case {
     let mut rng = Rand32::new(seed ^ 0x5eed);
     let mut rates = |count: usize| (0..count).map(|_| 990 + i64::from(rng.rand_range(0..21))).collect();
     let (voters, holders) = (rates([3, 5, 7][seed as usize % 3]), rates(2 + seed as usize % 4));
-    let (asks, restarts, twice, releases, lasts, abandons) = (0, 0, 0, 0, i64::MAX, true);
-    Case { voters, holders, asks, restarts, twice, releases, lasts, abandons, seeded_defect }
+    let (requests, restarts, duplicates, releases, end, abandon_when_refused) = (0, 0, 0, 0, i64::MAX, true);
+    Case {
+        voters,
+        holders,
+        requests,
+        restarts,
+        duplicates,
+        releases,
+        end,
+        abandon_when_refused,
+        seeded_defect,
+    }
 }
 
 #[test]
-fn in_drawn_histories_of_larger_fleets_two_never_act() {
-    let runs = std::env::var("LEASE_RUNS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(20_000);
+fn no_two_act_in_random_histories_of_larger_fleets() {
+    let runs = std::env::var("LEASE_RUNS").ok().and_then(|text| text.parse().ok()).unwrap_or(20_000);
     let (next, changes) = (AtomicU64::new(0), AtomicU64::new(0));
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(4, usize::from) {
@@ -360,7 +385,7 @@
                 if seed >= runs {
                     return;
                 }
-                let changed = drawn(seed, None).history(seed, 400).unwrap();
+                let changed = random_case(seed, None).random_history(seed, 400).unwrap();
                 changes.fetch_add(changed as u64, Ordering::Relaxed);
             });
         }
@@ -370,47 +395,49 @@
 }
 
 #[test]
-fn each_planted_mistake_is_found_in_histories_from_each_of_three_seeds() {
+fn each_seeded_defect_is_found_in_histories_from_each_of_three_seeds() {
     for seeded_defect in SEEDED_DEFECTS {
         for first in [0, 1_000_000, 2_000_000] {
             let found = (first..first + 200_000)
-                .find(|seed| drawn(*seed, Some(seeded_defect)).history(*seed, 400).is_err());
+                .find(|seed| random_case(*seed, Some(seeded_defect)).random_history(*seed, 400).is_err());
             let seed = found.unwrap_or_else(|| panic!("{seeded_defect:?} is not found from seed {first} on"));
             println!("{seeded_defect:?}: seed {seed}");
-            assert!(drawn(seed, None).history(seed, 400).is_ok());
+            assert!(random_case(seed, None).random_history(seed, 400).is_ok());
         }
     }
 }
 
 #[test]
-fn while_the_voters_change_both_sets_have_to_grant() {
+fn in_a_joint_configuration_both_voter_sets_have_to_grant() {
     let set = |range: std::ops::Range<usize>| range.map(voter_address).collect::<Vec<_>>();
-    let (old, joint, new) = (
-        Electorate::new(&[set(0..3)]),
-        Electorate::new(&[set(0..3), set(3..8)]),
-        Electorate::new(&[set(3..8)]),
-    );
-    // Whatever the votes of eight, two disjoint parts of them never both carry it in steps that stand side by side.
+    let (old, joint, new) =
+        (VoterSets::new(&[set(0..3)]), VoterSets::new(&[set(0..3), set(3..8)]), VoterSets::new(&[set(3..8)]));
+    // However eight voters vote, two disjoint groups of them are never both a quorum in adjacent
+    // configurations.
     for a in 0..256u32 {
-        let part =
+        let group =
             |bits: u32| (0..8).filter(|n| bits >> n & 1 == 1).map(voter_address).collect::<BTreeSet<_>>();
-        let (one, other) = (part(a), part(!a));
+        let (one, other) = (group(a), group(!a));
         for (x, y) in [(&old, &joint), (&joint, &joint), (&joint, &new), (&old, &old)] {
-            assert!(!(x.carried(&one) && y.carried(&other)), "{a:b}");
+            assert!(!(x.is_quorum(&one) && y.is_quorum(&other)), "{a:b}");
         }
     }
-    assert!(!Electorate::default().carried(&BTreeSet::new()));
-    let marks = |electorate: &Electorate| electorate.marks();
-    assert!(marks(&joint).contains(&marks(&old)[0]) && !marks(&new).contains(&marks(&old)[0]));
+    assert!(!VoterSets::default().is_quorum(&BTreeSet::new()));
+    let checksums = |voter_sets: &VoterSets| voter_sets.checksums();
+    assert!(
+        checksums(&joint).contains(&checksums(&old)[0]) && !checksums(&new).contains(&checksums(&old)[0])
+    );
 }
 
 #[test]
-fn a_voter_that_begins_anew_in_place_keeps_silent_for_a_lease_and_grants_no_term_again() {
-    let mut voter = Voter::new(local(0, 1000), LEASE, None);
+fn a_restarted_voter_keeps_silent_for_a_lease_and_grants_no_term_again() {
+    let mut voter = Voter::new(local_time(0, 1000), LEASE, None);
     let high = 5_000_000; // far above its clock
-    assert!(voter.ask(local(100_000, 1000), DUTY, high, (1, "a"), LEASE).unwrap().granted);
-    voter.hush(local(110_000, 1000));
-    assert_eq!(voter.ask(local(209_000, 1000), DUTY, high + 1, (2, "b"), LEASE), None);
-    assert!(!voter.ask(local(210_000, 1000), DUTY, high, (2, "b"), LEASE).unwrap().granted);
-    assert!(voter.ask(local(210_000, 1000), DUTY, high + 1, (2, "b"), LEASE).unwrap().granted);
+    assert!(voter.handle_request(local_time(100_000, 1000), DUTY, high, (1, "a"), LEASE).unwrap().granted);
+    voter.restart(local_time(110_000, 1000));
+    assert_eq!(voter.handle_request(local_time(209_000, 1000), DUTY, high + 1, (2, "b"), LEASE), None);
+    assert!(!voter.handle_request(local_time(210_000, 1000), DUTY, high, (2, "b"), LEASE).unwrap().granted);
+    assert!(
+        voter.handle_request(local_time(210_000, 1000), DUTY, high + 1, (2, "b"), LEASE).unwrap().granted
+    );
 }
--- a/crates/fleet/tests/model/mod.rs
+++ b/crates/fleet/tests/model/mod.rs
@@ -1,7 +1,7 @@
-//! A network in memory, driven by a seed: members with clocks of their own, loss, delay, ways that are cut, members that
-//! are frozen, killed and started again.
+//! A simulated network, driven by a seed: members with their own clocks, message loss, delay and duplication,
+//! blocked paths, and members that are frozen, killed and restarted.
 
-#![allow(dead_code)] // each test uses its part
+#![allow(dead_code)] // each test file uses a part of it
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -10,50 +10,50 @@
 use oorandom::Rand32;
 use sparlug::time::{Span, Time};
 use sparlug_fleet::membership::{Action, Event, Membership, SeededDefect, Settings};
-use sparlug_fleet::wire::{State, MAX_DATAGRAM_BYTES};
+use sparlug_fleet::wire::{MemberState, MAX_DATAGRAM_BYTES};
 
-/// Milliseconds of the world's clock, in thousandths.
-pub type Us = i64;
+/// Microseconds of the simulation's clock.
+pub type Micros = i64;
 
-pub const MS: Us = 1000;
-pub const S: Us = 1_000_000;
+pub const MS: Micros = 1000;
+pub const S: Micros = 1_000_000;
 
-enum What {
+enum SimEvent {
     Deliver(SocketAddr, SocketAddr, Vec<u8>),
-    Due(usize, u32),
-    Thaw(usize),
+    Timer(usize, u32),
+    Resume(usize),
 }
 
 pub struct Node {
-    pub members: Membership,
-    /// Where it is reached, which is what it tells others unless a test makes it lie.
+    pub membership: Membership,
+    /// Where it is reached; also its advertised address, unless a test makes it advertise another one.
     pub address: SocketAddr,
-    pub up: bool,
-    pub frozen_until: Us,
-    /// Datagrams that wait while it is frozen.
-    waiting: Vec<(SocketAddr, Vec<u8>)>,
-    /// Its clock: what it shows at the world's 0, and how much faster it runs.
-    shows: f64,
-    drift: f64,
-    life: u32,
-    wake: Option<Time>,
+    pub running: bool,
+    pub frozen_until: Micros,
+    /// Datagrams received while it is frozen, with their source addresses.
+    buffered: Vec<(SocketAddr, Vec<u8>)>,
+    /// Its clock: the time it shows at simulation time 0, and how much faster it runs.
+    clock_offset_ms: f64,
+    clock_drift: f64,
+    starts: u32,
+    timer_at: Option<Time>,
     pub sent: u64,
     pub sent_bytes: u64,
     pub log: Vec<String>,
 }
 
-pub struct World {
-    pub now: Us,
+pub struct Simulation {
+    pub now: Micros,
     pub nodes: Vec<Node>,
-    queue: BinaryHeap<Reverse<(Us, u64, usize)>>,
-    events: BTreeMap<usize, What>,
-    count: usize,
+    queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
+    events: BTreeMap<usize, SimEvent>,
+    events_pushed: usize,
     pub rng: Rand32,
     pub loss: f64,
-    pub delay: (Us, Us),
+    pub delay: (Micros, Micros),
     pub duplicate: f64,
-    /// Ways that nothing passes, from one to another.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// Paths on which all messages are lost, as (sender, receiver).
+    pub blocked_paths: BTreeSet<(usize, usize)>,
     pub seeded_defect: Option<SeededDefect>,
     pub expected: Option<usize>,
     by_address: BTreeMap<SocketAddr, usize>,
@@ -64,19 +64,19 @@
     SocketAddr::from(([127, 1, (n / 250) as u8, (n % 250 + 1) as u8], 7100))
 }
 
-impl World {
-    pub fn new(seed: u64, seeded_defect: Option<SeededDefect>) -> World {
-        World {
+impl Simulation {
+    pub fn new(seed: u64, seeded_defect: Option<SeededDefect>) -> Simulation {
+        Simulation {
             now: 0,
             nodes: Vec::new(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            count: 0,
+            events_pushed: 0,
             rng: Rand32::new(seed),
             loss: 0.0,
             delay: (MS / 5, MS),
             duplicate: 0.0,
-            cut: BTreeSet::new(),
+            blocked_paths: BTreeSet::new(),
             seeded_defect,
             expected: None,
             by_address: BTreeMap::new(),
@@ -84,11 +84,11 @@
         }
     }
 
-    pub fn chance(&mut self) -> f64 {
+    pub fn random_fraction(&mut self) -> f64 {
         self.rng.rand_float().into()
     }
 
-    pub fn draw(&mut self, below: usize) -> usize {
+    pub fn random_below(&mut self, below: usize) -> usize {
         self.rng.rand_range(0..below.max(1) as u32) as usize
     }
 
@@ -105,23 +105,24 @@
         }
     }
 
-    /// A process that was never there.
+    /// Adds and starts a new process.
     pub fn add(&mut self) -> usize {
         let n = self.nodes.len();
-        let (shows, drift) = (1e12 + self.chance() * 1e6, (self.chance() - 0.5) * 0.02);
-        let members = Membership::new(self.settings(n), 0, Time::ORIGIN);
-        let (waiting, log) = Default::default();
+        let (clock_offset_ms, clock_drift) =
+            (1e12 + self.random_fraction() * 1e6, (self.random_fraction() - 0.5) * 0.02);
+        let membership = Membership::new(self.settings(n), 0, Time::ORIGIN);
+        let (buffered, log) = Default::default();
         self.by_address.insert(address(n), n);
         self.nodes.push(Node {
-            members,
+            membership,
             address: address(n),
-            up: false,
+            running: false,
             frozen_until: 0,
-            waiting,
-            shows,
-            drift,
-            life: 0,
-            wake: None,
+            buffered,
+            clock_offset_ms,
+            clock_drift,
+            starts: 0,
+            timer_at: None,
             sent: 0,
             sent_bytes: 0,
             log,
@@ -130,96 +131,97 @@
         n
     }
 
-    /// Another process with the name of `of`, at an address of its own.
-    pub fn add_as(&mut self, of: usize, place: usize) -> usize {
-        let settings = Settings { address: address(place), ..self.settings(of) };
-        self.add_with(settings, place, 2e6)
+    /// Adds another process with the name of `target`, at its own address.
+    pub fn add_namesake(&mut self, target: usize, address_index: usize) -> usize {
+        let settings = Settings { address: address(address_index), ..self.settings(target) };
+        self.add_with_settings(settings, address_index, 2e6)
     }
 
-    /// Another process that is reached at `place` and tells others that it is where `of` is. Its clock is ahead by so much,
-    /// in milliseconds: the younger one, or the older.
-    pub fn add_at(&mut self, of: usize, place: usize, ahead: f64) -> usize {
-        let settings = Settings { address: address(of), ..self.settings(place) };
-        self.add_with(settings, place, ahead)
+    /// Adds a process that is reached at the address of `address_index`, but advertises that of `target`. Its
+    /// clock is ahead by `ahead_ms`, which makes it the younger process, or if negative the older one.
+    pub fn add_with_address_of(&mut self, target: usize, address_index: usize, ahead_ms: f64) -> usize {
+        let settings = Settings { address: address(target), ..self.settings(address_index) };
+        self.add_with_settings(settings, address_index, ahead_ms)
     }
 
-    fn add_with(&mut self, settings: Settings, place: usize, ahead: f64) -> usize {
+    fn add_with_settings(&mut self, settings: Settings, address_index: usize, ahead_ms: f64) -> usize {
         let n = self.add();
         self.kill(n);
         self.by_address.remove(&self.nodes[n].address);
-        self.nodes[n].address = address(place);
-        self.by_address.insert(address(place), n);
-        self.nodes[n].shows += ahead;
-        let now = self.local(n);
+        self.nodes[n].address = address(address_index);
+        self.by_address.insert(address(address_index), n);
+        self.nodes[n].clock_offset_ms += ahead_ms;
+        let now = self.local_time(n);
         let node = &mut self.nodes[n];
-        (node.members, node.up, node.life) = (Membership::new(settings, 77, now), true, node.life + 1);
+        (node.membership, node.running, node.starts) =
+            (Membership::new(settings, 77, now), true, node.starts + 1);
         self.handle(n, Event::Start);
         n
     }
 
     pub fn start(&mut self, n: usize) {
-        let (seed, settings, now) = (u64::from(self.rng.rand_u32()), self.settings(n), self.local(n));
+        let (seed, settings, now) = (u64::from(self.rng.rand_u32()), self.settings(n), self.local_time(n));
         let node = &mut self.nodes[n];
-        (node.members, node.up, node.frozen_until, node.wake) =
+        (node.membership, node.running, node.frozen_until, node.timer_at) =
             (Membership::new(settings, seed, now), true, 0, None);
-        node.waiting.clear();
-        node.life += 1;
+        node.buffered.clear();
+        node.starts += 1;
         self.handle(n, Event::Start);
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.nodes[n].up = false;
-        self.nodes[n].life += 1;
+        self.nodes[n].running = false;
+        self.nodes[n].starts += 1;
     }
 
     pub fn leave(&mut self, n: usize) {
         self.handle(n, Event::Leave);
     }
 
-    pub fn freeze(&mut self, n: usize, long: Us) {
-        self.nodes[n].frozen_until = self.now + long;
-        self.push(self.now + long, What::Thaw(n));
+    pub fn freeze(&mut self, n: usize, duration: Micros) {
+        self.nodes[n].frozen_until = self.now + duration;
+        self.push(self.now + duration, SimEvent::Resume(n));
     }
 
-    /// Cuts all ways between these sides, in one direction or both.
-    pub fn part(&mut self, sides: &[Vec<usize>], one_way: bool) {
+    /// Blocks all paths between these sides, in one direction or both.
+    pub fn partition(&mut self, sides: &[Vec<usize>], one_way: bool) {
         for (i, a) in sides.iter().enumerate() {
             for (j, b) in sides.iter().enumerate().filter(|(j, _)| *j != i) {
                 if !one_way || i < j {
-                    self.cut.extend(a.iter().flat_map(|a| b.iter().map(move |b| (*a, *b))));
+                    self.blocked_paths.extend(a.iter().flat_map(|a| b.iter().map(move |b| (*a, *b))));
                 }
             }
         }
     }
 
-    fn local(&self, n: usize) -> Time {
+    fn local_time(&self, n: usize) -> Time {
         let node = &self.nodes[n];
-        Time::from_ms(node.shows + self.now as f64 / 1000.0 * (1.0 + node.drift))
+        Time::from_ms(node.clock_offset_ms + self.now as f64 / 1000.0 * (1.0 + node.clock_drift))
     }
 
-    fn global(&self, n: usize, at: Time) -> Us {
+    fn sim_time(&self, n: usize, at: Time) -> Micros {
         let node = &self.nodes[n];
-        let local = at.since(Time::ORIGIN).ms() - node.shows;
-        // Never before it is due by its own clock.
-        (local * 1000.0 / (1.0 + node.drift)).ceil() as Us + 2
+        let local_ms = at.since(Time::ORIGIN).ms() - node.clock_offset_ms;
+        // Rounded up, so that the timer never fires early by the node's own clock.
+        (local_ms * 1000.0 / (1.0 + node.clock_drift)).ceil() as Micros + 2
     }
 
-    fn push(&mut self, at: Us, what: What) {
-        self.count += 1;
-        self.events.insert(self.count, what);
-        self.queue.push(Reverse((at.max(self.now), self.count as u64, self.count)));
+    fn push(&mut self, at: Micros, event: SimEvent) {
+        self.events_pushed += 1;
+        self.events.insert(self.events_pushed, event);
+        self.queue.push(Reverse((at.max(self.now), self.events_pushed as u64, self.events_pushed)));
     }
 
     pub fn handle(&mut self, n: usize, event: Event) {
-        let (now, mut out) = (self.local(n), Vec::new());
-        self.nodes[n].members.handle(now, event, &mut out);
-        for action in out {
+        let (now, mut actions) = (self.local_time(n), Vec::new());
+        self.nodes[n].membership.handle(now, event, &mut actions);
+        for action in actions {
             match action {
-                Action::Send { to, bytes } => self.sent(n, to, bytes),
+                Action::Send { to, bytes } => self.transmit(n, to, bytes),
                 Action::SetTimer(at) => {
-                    self.nodes[n].wake = Some(at);
-                    let (due, life) = (self.global(n, at), self.nodes[n].life);
-                    self.push(due, What::Due(n, life));
+                    self.nodes[n].timer_at = Some(at);
+                    let (due, starts) = (self.sim_time(n, at), self.nodes[n].starts);
+                    self.push(due, SimEvent::Timer(n, starts));
                 }
                 Action::Log(text) => self.nodes[n].log.push(text),
                 Action::ViewChanged | Action::PeerMessage { .. } | Action::DutyMessage(..) => {}
@@ -227,121 +229,126 @@
         }
     }
 
-    fn sent(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "a message of {} bytes", bytes.len());
+    fn transmit(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "message of {} bytes exceeds the limit", bytes.len());
         (self.nodes[from].sent, self.nodes[from].sent_bytes) =
             (self.nodes[from].sent + 1, self.nodes[from].sent_bytes + bytes.len() as u64);
         let Some(target) = self.by_address.get(&to).copied() else { return };
-        if self.cut.contains(&(from, target)) || self.chance() < self.loss {
+        if self.blocked_paths.contains(&(from, target)) || self.random_fraction() < self.loss {
             return;
         }
-        let copies = 1 + usize::from(self.chance() < self.duplicate);
+        let copies = 1 + usize::from(self.random_fraction() < self.duplicate);
         for _ in 0..copies {
-            let delay = self.delay.0 + (self.chance() * (self.delay.1 - self.delay.0) as f64) as Us;
-            let own = self.nodes[from].address;
-            self.push(self.now + delay, What::Deliver(own, to, bytes.clone()));
+            let delay =
+                self.delay.0 + (self.random_fraction() * (self.delay.1 - self.delay.0) as f64) as Micros;
+            let source = self.nodes[from].address;
+            self.push(self.now + delay, SimEvent::Deliver(source, to, bytes.clone()));
         }
     }
 
-    /// Plays so long.
-    pub fn play(&mut self, long: Us) {
-        let end = self.now + long;
+    /// Runs the simulation for this duration.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while let Some(Reverse((at, _, event))) = self.queue.peek().copied() {
             if at > end {
                 break;
             }
             self.queue.pop();
             self.now = at;
-            let Some(what) = self.events.remove(&event) else { continue };
-            match what {
-                What::Deliver(from, to, bytes) => {
-                    let Some(n) = self.by_address.get(&to).copied().filter(|n| self.nodes[*n].up) else {
+            let Some(event) = self.events.remove(&event) else { continue };
+            match event {
+                SimEvent::Deliver(from, to, bytes) => {
+                    let Some(n) = self.by_address.get(&to).copied().filter(|n| self.nodes[*n].running) else {
                         continue;
                     };
                     if self.nodes[n].frozen_until > self.now {
-                        // As much as a socket's buffer holds.
-                        if self.nodes[n].waiting.len() < 400 {
-                            self.nodes[n].waiting.push((from, bytes));
+                        // The capacity of a socket's receive buffer.
+                        if self.nodes[n].buffered.len() < 400 {
+                            self.nodes[n].buffered.push((from, bytes));
                         }
                     } else {
                         self.handle(n, Event::DatagramReceived(&bytes, from));
                     }
                 }
-                What::Due(n, life) => self.due(n, life),
-                What::Thaw(n) if self.nodes[n].up && self.nodes[n].frozen_until <= self.now => {
-                    for (from, bytes) in std::mem::take(&mut self.nodes[n].waiting) {
+                SimEvent::Timer(n, starts) => self.fire_timer(n, starts),
+                SimEvent::Resume(n) if self.nodes[n].running && self.nodes[n].frozen_until <= self.now => {
+                    for (from, bytes) in std::mem::take(&mut self.nodes[n].buffered) {
                         self.handle(n, Event::DatagramReceived(&bytes, from));
                     }
-                    let life = self.nodes[n].life;
-                    self.due(n, life);
+                    let starts = self.nodes[n].starts;
+                    self.fire_timer(n, starts);
                 }
-                What::Thaw(_) => {}
+                SimEvent::Resume(_) => {}
             }
         }
         self.now = end;
     }
 
-    fn due(&mut self, n: usize, life: u32) {
+    fn fire_timer(&mut self, n: usize, starts: u32) {
         let node = &self.nodes[n];
-        if !node.up || node.life != life || node.frozen_until > self.now {
+        if !node.running || node.starts != starts || node.frozen_until > self.now {
             return;
         }
-        let now = self.local(n);
-        if node.wake.is_some_and(|wake| wake <= now) {
-            self.nodes[n].wake = None;
+        let now = self.local_time(n);
+        if node.timer_at.is_some_and(|timer_at| timer_at <= now) {
+            self.nodes[n].timer_at = None;
             self.handle(n, Event::TimerExpired);
         }
     }
 
-    pub fn up(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|n| self.nodes[*n].up).collect()
+    pub fn running(&self) -> Vec<usize> {
+        (0..self.nodes.len()).filter(|n| self.nodes[*n].running).collect()
     }
 
-    /// Whom a node holds to be there, itself included.
-    pub fn sees(&self, n: usize) -> BTreeSet<String> {
-        let view = self.nodes[n].members.view(self.local(n));
-        view.members.into_iter().filter(|seen| seen.state.is_present()).map(|seen| seen.name).collect()
+    /// Names of the members that a node considers present, including itself.
+    pub fn present_in_view(&self, n: usize) -> BTreeSet<String> {
+        let view = self.nodes[n].membership.view(self.local_time(n));
+        view.members
+            .into_iter()
+            .filter(|member| member.state.is_present())
+            .map(|member| member.name)
+            .collect()
     }
 
-    pub fn holds(&self, n: usize, of: usize) -> Option<State> {
-        let view = self.nodes[n].members.view(self.local(n));
-        let name = format!("p-{of:04}");
-        view.members.into_iter().find(|seen| seen.name == name).map(|seen| seen.state)
+    pub fn state_in_view(&self, n: usize, target: usize) -> Option<MemberState> {
+        let view = self.nodes[n].membership.view(self.local_time(n));
+        let name = format!("p-{target:04}");
+        view.members.into_iter().find(|member| member.name == name).map(|member| member.state)
     }
 
-    /// Whether all that are up hold exactly those to be there that are.
-    pub fn agree(&self) -> bool {
-        let up: BTreeSet<String> = self.up().into_iter().map(|n| format!("p-{n:04}")).collect();
-        self.up().into_iter().all(|n| self.sees(n) == up)
+    /// Whether every running node considers exactly the running nodes present.
+    pub fn all_agree(&self) -> bool {
+        let running: BTreeSet<String> = self.running().into_iter().map(|n| format!("p-{n:04}")).collect();
+        self.running().into_iter().all(|n| self.present_in_view(n) == running)
     }
 
-    /// How long until all agree, if they do within `most`.
-    pub fn until_agreed(&mut self, most: Us) -> Option<Us> {
+    /// How long it takes until all agree, if they do within `limit`.
+    pub fn time_to_agreement(&mut self, limit: Micros) -> Option<Micros> {
         let began = self.now;
-        while !self.agree() {
-            if self.now - began >= most {
+        while !self.all_agree() {
+            if self.now - began >= limit {
                 return None;
             }
-            self.play(100 * MS);
+            self.run(100 * MS);
         }
         Some(self.now - began)
     }
 
-    /// What all that are up take together of what all share.
-    pub fn shares(&self) -> f64 {
-        self.up().into_iter().map(|n| 1.0 / self.nodes[n].members.member_count() as f64).sum()
+    /// The sum of the shares that the running nodes take of a common total.
+    pub fn sum_of_shares(&self) -> f64 {
+        self.running().into_iter().map(|n| 1.0 / self.nodes[n].membership.member_count() as f64).sum()
     }
 }
 
-pub fn fleet(seed: u64, count: usize, seeded_defect: Option<SeededDefect>) -> World {
-    let mut world = World::new(seed, seeded_defect);
+pub fn start_fleet(seed: u64, count: usize, seeded_defect: Option<SeededDefect>) -> Simulation {
+    let mut sim = Simulation::new(seed, seeded_defect);
     for _ in 0..count {
-        world.add();
-        world.play(5 * MS);
+        sim.add();
+        sim.run(5 * MS);
     }
-    world
+    sim
 }
 
-pub fn span(us: Us) -> Span {
+pub fn span(us: Micros) -> Span {
     Span::from_ms(us as f64 / 1000.0)
 }
