--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -30,7 +30,7 @@
 
 impl Host {
     /// Handles one record and adds its instance's actions to the reply.
-    fn handle_record(&mut self, now: Time, number: u16, record: Record) -> Result<(), String> {
+    fn handle_record(&mut self, now: Time, instance_id: u16, record: Record) -> Result<(), String> {
         let actions = &mut self.actions;
         actions.clear();
         let result = match record {
@@ -39,14 +39,14 @@
                 let classes = settings.classes.len();
                 let start = AssertUnwindSafe(|| Balancer::new(settings, seed, now, actions));
                 catch_unwind(start).map(|balancer| {
-                    self.instances.insert(number, Instance { balancer, load_columns, classes });
+                    self.instances.insert(instance_id, Instance { balancer, load_columns, classes });
                 })
             }
             Record::Stop => {
-                self.instances.remove(&number);
+                self.instances.remove(&instance_id);
                 return Ok(());
             }
-            Record::Event(event) => match self.instances.get_mut(&number) {
+            Record::Event(event) => match self.instances.get_mut(&instance_id) {
                 None => return Ok(()),
                 Some(instance) => {
                     if let Event::RequestReceived(Request { class, .. }) = event {
@@ -59,13 +59,13 @@
             },
         };
         for action in &self.actions {
-            self.reply.add(number, action);
+            self.reply.add(instance_id, action);
         }
         if let Err(panic) = result {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a text");
-            self.reply.add_panic(number, text);
-            self.instances.remove(&number);
+            self.reply.add_panic(instance_id, text);
+            self.instances.remove(&instance_id);
         }
         Ok(())
     }
@@ -75,12 +75,12 @@
         let mut reader = Reader::new(body);
         for index in 0..count {
             let instances = &self.instances;
-            let columns = |number| {
-                instances.get(&number).map_or(LoadColumns::default(), |instance| instance.load_columns)
+            let columns = |instance_id| {
+                instances.get(&instance_id).map_or(LoadColumns::default(), |instance| instance.load_columns)
             };
             let record = wire::read_record(&mut reader, &mut self.tables, columns);
             let result = record.and_then(|record| match record {
-                Some((number, record)) => self.handle_record(now, number, record),
+                Some((instance_id, record)) => self.handle_record(now, instance_id, record),
                 None => Ok(()),
             });
             result.map_err(|e| format!("record {index}: {e}"))?;
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -143,14 +143,14 @@
 pub struct Tables([Option<Vec<Listing>>; MAX_TABLES]);
 
 impl Tables {
-    fn define(&mut self, r: &mut Reader) -> Result<()> {
-        let (at, number) = (r.position(), r.u32()? as usize);
-        let rows = r.u32()? as usize;
+    fn define(&mut self, reader: &mut Reader) -> Result<()> {
+        let (at, number) = (reader.position(), reader.u32()? as usize);
+        let rows = reader.u32()? as usize;
         let slot =
             self.0.get_mut(number).ok_or(format!("list number {number} out of range, at byte {at}"))?;
         let mut listings = Vec::new();
         for _ in 0..rows {
-            listings.push(r.listing()?);
+            listings.push(reader.listing()?);
         }
         *slot = Some(listings);
         Ok(())
@@ -171,47 +171,50 @@
 
 /// Reads one record. Returns `None` for a record that is not for an instance.
 pub fn read_record<'a>(
-    r: &mut Reader<'a>,
+    reader: &mut Reader<'a>,
     tables: &mut Tables,
     columns: impl Fn(u16) -> LoadColumns,
 ) -> Result<Option<(u16, Record<'a>)>> {
-    let at = r.position();
-    let code = r.u8()?;
+    let at = reader.position();
+    let code = reader.u8()?;
     if code == 110 {
-        tables.define(r)?;
+        tables.define(reader)?;
         return Ok(None);
     }
     if ![10, 20, 30, 40, 50, 60, 70, 80, 90, 100].contains(&code) {
         return Err(format!("unknown event code {code} at byte {at}"));
     }
-    let instance = r.u16()?;
+    let instance = reader.u16()?;
     let event = match code {
         10 => {
-            let seed = r.u64()?;
-            let length = r.u32()? as usize;
-            return Ok(Some((instance, Record::Start { seed, setup: r.take(length)? })));
+            let seed = reader.u64()?;
+            let length = reader.u32()? as usize;
+            return Ok(Some((instance, Record::Start { seed, setup: reader.take(length)? })));
         }
         100 => return Ok(Some((instance, Record::Stop))),
         20 => {
-            let (form, _epoch, number) = (r.u8()?, r.u64()?, r.u32()?);
+            let (form, _epoch, number) = (reader.u8()?, reader.u64()?, reader.u32()?);
             tables.list_event(form, number, at)?
         }
         30 => {
-            let (id, class, tenant) = (RequestId(r.u32()?.into()), ClassId(r.u16()?), TenantId(r.u32()?));
-            let key = Some(r.u64()?).filter(|key| *key != 0);
-            let deadline = Time::from_ms(r.f64()?);
-            let cost = r.span()?;
-            let cost = (r.u16()? & COST_VALID_FLAG != 0).then_some(cost);
+            let (id, class, tenant) =
+                (RequestId(reader.u32()?.into()), ClassId(reader.u16()?), TenantId(reader.u32()?));
+            let key = Some(reader.u64()?).filter(|key| *key != 0);
+            let deadline = Time::from_ms(reader.f64()?);
+            let cost = reader.span()?;
+            let cost = (reader.u16()? & COST_VALID_FLAG != 0).then_some(cost);
             Event::RequestReceived(Request { id, class, tenant, key, deadline, cost, complete: true })
         }
         40 => {
-            let (request, _attempt, backend) = (RequestId(r.u32()?.into()), r.u16()?, r.backend()?);
-            Event::ResponseStarted { request, backend, took: r.span()? }
+            let (request, _attempt, backend) =
+                (RequestId(reader.u32()?.into()), reader.u16()?, reader.backend()?);
+            Event::ResponseStarted { request, backend, took: reader.span()? }
         }
         50 => {
-            let request = RequestId(r.u32()?.into());
-            let (outcome, backend, last) = (r.outcome()?, r.backend()?, r.u8()?);
-            let (attempt, took, load) = (AttemptNo(r.u16()?), r.span()?, r.load(columns(instance))?);
+            let request = RequestId(reader.u32()?.into());
+            let (outcome, backend, last) = (reader.outcome()?, reader.backend()?, reader.u8()?);
+            let (attempt, took, load) =
+                (AttemptNo(reader.u16()?), reader.span()?, reader.load(columns(instance))?);
             Event::AttemptEnded(AttemptEnd {
                 request,
                 attempt,
@@ -223,16 +226,16 @@
                 load,
             })
         }
-        60 => Event::ClientGone(RequestId(r.u32()?.into())),
-        70 => Event::TimerExpired(TimerId(r.u64()?)),
+        60 => Event::ClientGone(RequestId(reader.u32()?.into())),
+        70 => Event::TimerExpired(TimerId(reader.u64()?)),
         80 => {
-            let (backend, outcome, took) = (r.backend()?, r.outcome()?, r.span()?);
-            Event::CheckEnded { backend, outcome, took, load: r.load(columns(instance))? }
+            let (backend, outcome, took) = (reader.backend()?, reader.outcome()?, reader.span()?);
+            Event::CheckEnded { backend, outcome, took, load: reader.load(columns(instance))? }
         }
         _ => {
-            let from = PeerId(r.u32()? as u16);
-            let length = usize::from(r.u16()?);
-            Event::PeerMessage { from, bytes: r.take(length)?.to_vec() }
+            let from = PeerId(reader.u32()? as u16);
+            let length = usize::from(reader.u16()?);
+            Event::PeerMessage { from, bytes: reader.take(length)?.to_vec() }
         }
     };
     Ok(Some((instance, Record::Event(event))))
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -83,9 +83,10 @@
 
 /// The highest price of a check at which load reports are requested.
 const MAX_CHECK_PRICE: f64 = 0.005;
-/// Sending to another zone, where that has a price, counts as this many attempts in flight,
+/// Sending to another zone, where that has a price, counts as this many attempts in flight.
 const CROSS_ZONE_PENALTY_ATTEMPTS: f64 = 0.25;
-/// and as this part of the mean in flight nearby if the backend doesn't report its load.
+/// If that backend doesn't report its load, it also counts as this part of the mean in flight in the own
+/// zone.
 const UNREPORTED_LOAD_RATIO: f64 = 0.5;
 /// The part of the counted keys that remains after each update interval.
 const KEY_FADE_RATIO: f64 = 0.97;
@@ -95,9 +96,9 @@
 const HOMES_PER_EVEN_SHARE: f64 = 2.5;
 /// Sending a request to a backend that doesn't know its key counts as this many attempts in flight.
 const KEY_MOVE_PENALTY_ATTEMPTS: f64 = 0.4;
-/// Where there are many instances, this many share a backend,
+/// Where there are many instances, this many share a backend.
 const INSTANCES_PER_SHARED_BACKEND: f64 = 3.0;
-/// and an instance's subset has at least this many backends.
+/// The fewest backends in the subset that an instance sends to.
 const MIN_SUBSET_BACKENDS: f64 = 6.0;
 /// The part of the latency target for which load reports are awaited.
 const REPORT_WAIT_RATIO: f64 = 0.05;
@@ -202,7 +203,7 @@
 
     fn tick(&mut self, context: &mut BackendContext) {
         // All instances together must not overload a backend in its slow start: each sends it its part of
-        // what its present capacity bears, measured by what its peers carry.
+        // what its present capacity bears, measured by what its peers handle.
         let slow_start = &context.settings.slow_start;
         let min_rate =
             2.0 / (context.settings.instances as f64 * (slow_start.overload_window.ms() / 1000.0).max(0.1));
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -75,78 +75,87 @@
 
 /// A context for a backend that is not part of the balancer.
 fn context<'a>(
-    b: &'a Balancer,
+    balancer: &'a Balancer,
     tier_inbox: &'a mut Vec<TierMessage>,
     actions: &'a mut Vec<Action>,
     now: Time,
 ) -> BackendContext<'a> {
-    BackendContext { now, tier: &b.tier, settings: &b.settings, chance: 0.5, tier_inbox, actions }
+    BackendContext {
+        now,
+        tier: &balancer.tier,
+        settings: &balancer.settings,
+        chance: 0.5,
+        tier_inbox,
+        actions,
+    }
 }
 
-fn choose(b: &mut Balancer) -> Option<BackendId> {
-    b.choose_backends(RequestId(1)).map(|pair| pair[0])
+fn choose(balancer: &mut Balancer) -> Option<BackendId> {
+    balancer.choose_backends(RequestId(1)).map(|pair| pair[0])
 }
 
 #[test]
 fn at_most_once_fails_after_an_outcome_that_may_have_run() {
-    let (mut b, mut actions) = (balancer(Effect::AtMostOnce, 4), Vec::new());
-    b.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
-    b.attempt_ended(attempt_end(Outcome::Error), &mut actions);
+    let (mut balancer, mut actions) = (balancer(Effect::AtMostOnce, 4), Vec::new());
+    balancer.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
+    balancer.attempt_ended(attempt_end(Outcome::Error), &mut actions);
     assert_eq!(actions, [Action::Fail { request: RequestId(1), reason: Reason::MayHaveRun }]);
 }
 
 #[test]
 fn at_most_once_is_retried_after_an_outcome_that_proves_it_never_ran() {
-    let mut b = balancer(Effect::AtMostOnce, 4);
-    b.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
-    b.attempt_ended(attempt_end(Outcome::Full), &mut Vec::new());
-    assert_eq!(b.queue.retries, [RequestId(1)]);
+    let mut balancer = balancer(Effect::AtMostOnce, 4);
+    balancer.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
+    balancer.attempt_ended(attempt_end(Outcome::Full), &mut Vec::new());
+    assert_eq!(balancer.queue.retries, [RequestId(1)]);
 }
 
 #[test]
 fn at_most_once_is_not_refused_while_an_attempt_is_running() {
-    let (mut b, mut actions) = (balancer(Effect::AtMostOnce, 4), Vec::new());
-    b.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
-    b.give_up(RequestId(1), Reason::OutOfTime, &mut actions);
+    let (mut balancer, mut actions) = (balancer(Effect::AtMostOnce, 4), Vec::new());
+    balancer.queue.pending.insert(RequestId(1), running(Effect::AtMostOnce));
+    balancer.give_up(RequestId(1), Reason::OutOfTime, &mut actions);
     let cancel = Action::Cancel { request: RequestId(1), attempt: AttemptNo(0) };
     assert_eq!(actions, [cancel, Action::Fail { request: RequestId(1), reason: Reason::OutOfTime }]);
 }
 
 #[test]
 fn a_keyed_repeat_stays_in_its_group() {
-    let mut b = balancer(by_pod(), 6);
-    b.queue
+    let mut balancer = balancer(by_pod(), 6);
+    balancer
+        .queue
         .pending
         .insert(RequestId(1), PendingRequest { first_run: Some((listing(2), START)), ..pending(by_pod()) });
-    let chosen: Vec<_> = (0..50).filter_map(|_| choose(&mut b)).collect();
+    let chosen: Vec<_> = (0..50).filter_map(|_| choose(&mut balancer)).collect();
     assert!(chosen.contains(&id(2)) && chosen.contains(&id(3)));
     assert!(chosen.iter().all(|backend| *backend == id(2) || *backend == id(3)));
 }
 
 #[test]
 fn a_keyed_repeat_is_not_sent_after_its_window() {
-    let mut b = balancer(by_pod(), 6);
-    b.queue
+    let mut balancer = balancer(by_pod(), 6);
+    balancer
+        .queue
         .pending
         .insert(RequestId(1), PendingRequest { first_run: Some((listing(2), START)), ..pending(by_pod()) });
-    b.now = START + ms(1000);
-    assert_eq!(choose(&mut b), None);
+    balancer.now = START + ms(1000);
+    assert_eq!(choose(&mut balancer), None);
 }
 
 #[test]
 fn a_draining_backend_gets_no_requests() {
-    let mut b = balancer(Effect::Safe, 2);
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
-    b.backends.get_mut(&id(0)).unwrap().listing.condition = Condition::Draining;
-    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
+    let mut balancer = balancer(Effect::Safe, 2);
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    balancer.backends.get_mut(&id(0)).unwrap().listing.condition = Condition::Draining;
+    assert!((0..20).all(|_| choose(&mut balancer) == Some(id(1))));
 }
 
 #[test]
 fn a_backend_missing_from_a_full_list_is_gone() {
-    let mut b = balancer(Effect::Safe, 2);
-    b.handle(START, Event::ListReceived { full: true, listings: vec![listing(1)] }, &mut Vec::new());
-    assert_eq!(b.backends[&id(0)].listing.condition, Condition::Gone);
-    assert_eq!(b.backends[&id(1)].listing.condition, Condition::Ready);
+    let mut balancer = balancer(Effect::Safe, 2);
+    balancer.handle(START, Event::ListReceived { full: true, listings: vec![listing(1)] }, &mut Vec::new());
+    assert_eq!(balancer.backends[&id(0)].listing.condition, Condition::Gone);
+    assert_eq!(balancer.backends[&id(1)].listing.condition, Condition::Ready);
 }
 
 /// The delays after which the list is fetched again.
@@ -160,8 +169,8 @@
 
 #[test]
 fn a_failed_watch_is_retried_after_a_growing_delay() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
-    (0..4).for_each(|_| b.handle(START, Event::ListFailed, &mut actions));
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
+    (0..4).for_each(|_| balancer.handle(START, Event::ListFailed, &mut actions));
     let delays = watch_delays(&actions);
     assert_eq!(delays.len(), 4);
     assert!(delays[3] > delays[0]);
@@ -171,47 +180,47 @@
 /// and the next one needs 1.25 s for its response, which leaves at most 1.5 s between the two.
 #[test]
 fn the_retry_delay_of_a_failed_watch_leaves_time_to_learn_of_a_drain() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
-    (0..500).for_each(|_| b.handle(START, Event::ListFailed, &mut actions));
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
+    (0..500).for_each(|_| balancer.handle(START, Event::ListFailed, &mut actions));
     let longest = watch_delays(&actions).into_iter().max().unwrap().ms();
     assert!((1250.0..=1500.0).contains(&longest), "{longest}");
 }
 
 #[test]
 fn requests_above_the_limit_wait() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
-    b.tier.in_flight = 10.0;
-    b.handle(START, Event::RequestReceived(request(1)), &mut actions);
-    assert_eq!(b.queue.first_attempts, [RequestId(1)]);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    balancer.tier.in_flight = 10.0;
+    balancer.handle(START, Event::RequestReceived(request(1)), &mut actions);
+    assert_eq!(balancer.queue.first_attempts, [RequestId(1)]);
     assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })));
 }
 
 #[test]
 fn above_three_times_the_limit_all_requests_are_refused_at_once() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
-    b.tier.in_flight = 30.0;
-    b.request_received(request(1), &mut actions);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    balancer.tier.in_flight = 30.0;
+    balancer.request_received(request(1), &mut actions);
     assert!(matches!(actions.last(), Some(Action::Refuse { request: RequestId(1), backoff: Some(_), .. })));
 }
 
 #[test]
 fn between_two_and_three_limits_requests_over_quota_are_refused_first() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
-    b.tier.in_flight = 30.0;
-    b.queue.pending.insert(RequestId(7), PendingRequest { over_quota: true, ..pending(Effect::Safe) });
-    b.queue.first_attempts.push(RequestId(7));
-    b.request_received(request(1), &mut actions);
-    assert_eq!(b.queue.first_attempts, [RequestId(1)]);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    balancer.tier.in_flight = 30.0;
+    balancer.queue.pending.insert(RequestId(7), PendingRequest { over_quota: true, ..pending(Effect::Safe) });
+    balancer.queue.first_attempts.push(RequestId(7));
+    balancer.request_received(request(1), &mut actions);
+    assert_eq!(balancer.queue.first_attempts, [RequestId(1)]);
 }
 
 #[test]
 fn a_request_that_waited_too_long_is_refused_and_not_sent() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
-    b.queue.first_attempts.push(RequestId(1));
-    b.tier.latency.add(100.0, 1.0);
-    b.now = START + ms(120);
-    assert!(!b.send_next(&mut actions));
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    balancer.queue.first_attempts.push(RequestId(1));
+    balancer.tier.latency.add(100.0, 1.0);
+    balancer.now = START + ms(120);
+    assert!(!balancer.send_next(&mut actions));
     assert!(matches!(actions[..], [Action::Refuse { request: RequestId(1), .. }]));
 }
 
@@ -220,13 +229,13 @@
 #[test]
 fn an_at_most_once_retry_is_sent_while_a_mean_response_can_be_in_time() {
     for (effect, attempts) in [(Effect::AtMostOnce, 1), (Effect::Safe, 0)] {
-        let (mut b, mut actions) = (balancer(effect, 4), Vec::new());
-        b.tier.response_ms.add(40.0, 1.0);
-        b.tier.latency.add(150.0, 1.0);
-        b.queue.pending.insert(RequestId(1), PendingRequest { attempts: 1, ..pending(effect) });
-        b.queue.retries.push(RequestId(1));
-        b.now = START + ms(50);
-        b.send_next(&mut actions);
+        let (mut balancer, mut actions) = (balancer(effect, 4), Vec::new());
+        balancer.tier.response_ms.add(40.0, 1.0);
+        balancer.tier.latency.add(150.0, 1.0);
+        balancer.queue.pending.insert(RequestId(1), PendingRequest { attempts: 1, ..pending(effect) });
+        balancer.queue.retries.push(RequestId(1));
+        balancer.now = START + ms(50);
+        balancer.send_next(&mut actions);
         let sent = actions.iter().filter(|action| matches!(action, Action::Attempt { .. })).count();
         assert_eq!(sent, attempts, "{actions:?}");
     }
@@ -234,28 +243,28 @@
 
 #[test]
 fn first_attempts_are_sent_before_retries() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
     for n in [1, 2] {
-        b.queue.pending.insert(RequestId(n), pending(Effect::Safe));
+        balancer.queue.pending.insert(RequestId(n), pending(Effect::Safe));
     }
-    (b.queue.retries, b.queue.first_attempts) = (vec![RequestId(1)], vec![RequestId(2)]);
-    b.send_next(&mut actions);
+    (balancer.queue.retries, balancer.queue.first_attempts) = (vec![RequestId(1)], vec![RequestId(2)]);
+    balancer.send_next(&mut actions);
     assert!(matches!(actions[..], [Action::Attempt { request: RequestId(2), .. }]));
 }
 
 #[test]
 fn without_retry_budget_a_request_that_may_have_run_is_not_retried() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
-    b.queue.pending.insert(RequestId(1), running(Effect::Safe));
-    b.queue.retry_budget = 0.5;
-    b.attempt_ended(attempt_end(Outcome::Error), &mut actions);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    balancer.queue.pending.insert(RequestId(1), running(Effect::Safe));
+    balancer.queue.retry_budget = 0.5;
+    balancer.attempt_ended(attempt_end(Outcome::Error), &mut actions);
     assert!(matches!(actions[..], [Action::Refuse { .. }]));
 }
 
 #[test]
 fn the_attempt_times_out_before_the_request_timer_and_the_target() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
-    b.handle(START, Event::RequestReceived(request(1)), &mut actions);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
+    balancer.handle(START, Event::RequestReceived(request(1)), &mut actions);
     let Action::SetTimer { after, .. } = actions[0] else { panic!("{actions:?}") };
     let Action::Attempt { timeout, .. } = actions[1] else { panic!("{actions:?}") };
     assert!(timeout < after && after < ms(200));
@@ -263,22 +272,22 @@
 
 #[test]
 fn a_stream_that_has_started_is_left_to_the_client() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
-    b.handle(START, Event::RequestReceived(request(1)), &mut Vec::new());
-    b.handle(
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 1), Vec::new());
+    balancer.handle(START, Event::RequestReceived(request(1)), &mut Vec::new());
+    balancer.handle(
         START,
         Event::ResponseStarted { request: RequestId(1), backend: id(0), took: ms(5) },
         &mut actions,
     );
-    b.handle(START + ms(500), Event::TimerExpired(TimerId(1)), &mut actions);
+    balancer.handle(START + ms(500), Event::TimerExpired(TimerId(1)), &mut actions);
     assert_eq!(actions, []);
 }
 
 #[test]
 fn a_backend_is_ejected_for_failures_that_its_peers_do_not_share() {
-    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    let (balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let mut backend = Backend { in_flight: 2.0, ..Backend::default() };
-    let mut context = context(&b, &mut tier_inbox, &mut actions, START);
+    let mut context = context(&balancer, &mut tier_inbox, &mut actions, START);
     backend.attempt_ended(&attempt_end(Outcome::Error), None, &mut context);
     assert_eq!(backend.ejected_until, None);
     backend.attempt_ended(&attempt_end(Outcome::Error), None, &mut context);
@@ -287,10 +296,10 @@
 
 #[test]
 fn failures_that_all_backends_share_eject_none() {
-    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    b.tier.failure_ratio = 0.5;
+    let (mut balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    balancer.tier.failure_ratio = 0.5;
     let mut backend = Backend { in_flight: 9.0, ..Backend::default() };
-    let mut context = context(&b, &mut tier_inbox, &mut actions, START);
+    let mut context = context(&balancer, &mut tier_inbox, &mut actions, START);
     (0..9).for_each(|_| backend.attempt_ended(&attempt_end(Outcome::Error), None, &mut context));
     assert_eq!(backend.ejected_until, None);
 }
@@ -299,47 +308,47 @@
 /// instances until each has learnt that it fails.
 #[test]
 fn a_backend_that_fails_more_than_its_tier_is_avoided_from_the_first_failure_on() {
-    let mut b = balancer(Effect::Safe, 2);
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
-    b.tier.response_ms.add(50.0, 1.0);
+    let mut balancer = balancer(Effect::Safe, 2);
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    balancer.tier.response_ms.add(50.0, 1.0);
     for n in [0, 1] {
-        b.send_message(id(n), BackendMessage::AttemptSent);
+        balancer.send_message(id(n), BackendMessage::AttemptSent);
         let outcome = if n == 0 { Outcome::Error } else { Outcome::Served };
         let end = AttemptEnd { backend: id(n), request: RequestId(2), ..attempt_end(outcome) };
-        b.handle(START, Event::AttemptEnded(end), &mut Vec::new());
+        balancer.handle(START, Event::AttemptEnded(end), &mut Vec::new());
     }
-    assert!(b.backends[&id(0)].ejected_until.is_none());
-    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
+    assert!(balancer.backends[&id(0)].ejected_until.is_none());
+    assert!((0..20).all(|_| choose(&mut balancer) == Some(id(1))));
     // Failures are forgotten with time.
-    (0..400).for_each(|_| b.handle(START, Event::TimerExpired(TICK_TIMER), &mut Vec::new()));
-    assert!((0..40).any(|_| choose(&mut b) == Some(id(0))));
+    (0..400).for_each(|_| balancer.handle(START, Event::TimerExpired(TICK_TIMER), &mut Vec::new()));
+    assert!((0..40).any(|_| choose(&mut balancer) == Some(id(0))));
 }
 
 /// Guards against losing a request to each backend of a failed zone before its failure is known.
 #[test]
 fn failures_of_one_zone_raise_the_load_of_its_other_backends_and_shared_failures_do_not() {
-    let mut b = balancer(Effect::Safe, 4);
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    let mut balancer = balancer(Effect::Safe, 4);
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
     let zone = |n: u16| ZoneId(n / 2);
-    b.backends.values_mut().zip(0u16..).for_each(|(backend, n)| backend.listing.zone = zone(n));
-    let fail = |b: &mut Balancer, n| {
-        b.send_message(id(n), BackendMessage::CheckEnded(Outcome::ConnectFailed, Load::default()));
-        b.handle(START, Event::ClientGone(RequestId(9)), &mut Vec::new());
+    balancer.backends.values_mut().zip(0u16..).for_each(|(backend, n)| backend.listing.zone = zone(n));
+    let fail = |balancer: &mut Balancer, n| {
+        balancer.send_message(id(n), BackendMessage::CheckEnded(Outcome::ConnectFailed, Load::default()));
+        balancer.handle(START, Event::ClientGone(RequestId(9)), &mut Vec::new());
     };
-    (0..3).for_each(|_| fail(&mut b, 0));
-    assert!(b.backend_load(id(1)) > 1.2 * b.backend_load(id(2)));
-    (0..60).for_each(|n| fail(&mut b, n % 4));
-    assert!(b.backend_load(id(1)) < 1.2 * b.backend_load(id(2)));
+    (0..3).for_each(|_| fail(&mut balancer, 0));
+    assert!(balancer.backend_load(id(1)) > 1.2 * balancer.backend_load(id(2)));
+    (0..60).for_each(|n| fail(&mut balancer, n % 4));
+    assert!(balancer.backend_load(id(1)) < 1.2 * balancer.backend_load(id(2)));
 }
 
 #[test]
 fn a_backend_that_a_check_cannot_reach_is_ejected_and_no_request_waits_for_it() {
-    let mut b = awaiting_reports();
-    b.tier.ready_and_ejected = (9.0, 0.0);
-    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START + ms(1), 3.0));
+    let mut balancer = awaiting_reports();
+    balancer.tier.ready_and_ejected = (9.0, 0.0);
+    balancer.backends.get_mut(&id(1)).unwrap().reported_others = Some((START + ms(1), 3.0));
     let (outcome, took, load) = (Outcome::ConnectFailed, ms(1), Load::default());
     let mut actions = Vec::new();
-    b.handle(START + ms(2), Event::CheckEnded { backend: id(0), outcome, took, load }, &mut actions);
+    balancer.handle(START + ms(2), Event::CheckEnded { backend: id(0), outcome, took, load }, &mut actions);
     assert!(actions
         .iter()
         .any(|action| matches!(action, Action::Attempt { backend, .. } if *backend == id(1))));
@@ -347,29 +356,29 @@
 
 #[test]
 fn only_a_part_of_the_ready_backends_is_ejected() {
-    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    b.tier.ready_and_ejected = (4.0, 1.0);
+    let (mut balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    balancer.tier.ready_and_ejected = (4.0, 1.0);
     let mut backend = Backend::default();
-    backend.eject("failing", &mut context(&b, &mut tier_inbox, &mut actions, START));
+    backend.eject("failing", &mut context(&balancer, &mut tier_inbox, &mut actions, START));
     assert_eq!(backend.ejected_until, None);
 }
 
 #[test]
 fn a_silent_backend_is_ejected_and_its_attempts_no_longer_count() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 4), Vec::new());
-    b.tier.latency.add(100.0, 1.0);
-    let hung = b.backends.get_mut(&id(0)).unwrap();
-    (hung.in_flight, hung.counted_in_flight, b.tier.in_flight) = (3.0, 3.0, 3.0);
-    b.handle(START + ms(400), Event::TimerExpired(TICK_TIMER), &mut actions);
-    assert!(b.backends[&id(0)].ejected_until.is_some());
-    assert_eq!(b.tier.in_flight, 0.0);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 4), Vec::new());
+    balancer.tier.latency.add(100.0, 1.0);
+    let hung = balancer.backends.get_mut(&id(0)).unwrap();
+    (hung.in_flight, hung.counted_in_flight, balancer.tier.in_flight) = (3.0, 3.0, 3.0);
+    balancer.handle(START + ms(400), Event::TimerExpired(TICK_TIMER), &mut actions);
+    assert!(balancer.backends[&id(0)].ejected_until.is_some());
+    assert_eq!(balancer.tier.in_flight, 0.0);
 }
 
 #[test]
 fn an_ejected_backend_adds_no_latency_samples_and_is_readmitted_on_a_response() {
-    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    let (balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let mut backend = Backend { in_flight: 1.0, ejected_until: Some(START), ..Backend::default() };
-    let mut context = context(&b, &mut tier_inbox, &mut actions, START);
+    let mut context = context(&balancer, &mut tier_inbox, &mut actions, START);
     backend.attempt_ended(&attempt_end(Outcome::Served), Some((ms(50), true)), &mut context);
     assert!(!tier_inbox.iter().any(|message| matches!(message, TierMessage::LatencySample(..))));
     assert_eq!((backend.ejected_until, backend.max_in_flight), (None, Some(1.0)));
@@ -377,15 +386,15 @@
 
 #[test]
 fn an_abandoned_attempt_counts_as_in_flight_until_its_work_is_likely_done() {
-    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    let (balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let mut backend = Backend { in_flight: 1.0, ..Backend::default() };
     backend.attempt_ended(
         &attempt_end(Outcome::TimedOut),
         None,
-        &mut context(&b, &mut tier_inbox, &mut actions, START),
+        &mut context(&balancer, &mut tier_inbox, &mut actions, START),
     );
     assert_eq!(backend.occupancy(), 1.0);
-    backend.tick(&mut context(&b, &mut tier_inbox, &mut actions, START + ms(110)));
+    backend.tick(&mut context(&balancer, &mut tier_inbox, &mut actions, START + ms(110)));
     assert_eq!(backend.occupancy(), 0.0);
 }
 
@@ -393,65 +402,71 @@
 /// ejected.
 #[test]
 fn a_backend_that_refuses_connections_rests_even_if_it_may_not_be_ejected() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 2), Vec::new());
-    b.tier.response_ms.add(60.0, 1.0);
-    b.tier.ready_and_ejected = (2.0, 1.0);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 2), Vec::new());
+    balancer.tier.response_ms.add(60.0, 1.0);
+    balancer.tier.ready_and_ejected = (2.0, 1.0);
     let mut backend = Backend { in_flight: 1.0, listing: listing(0), ..Backend::default() };
     let message = BackendMessage::AttemptEnded(attempt_end(Outcome::ConnectFailed), None);
-    backend.handle(message, &mut context(&b, &mut Vec::new(), &mut actions, START));
+    backend.handle(message, &mut context(&balancer, &mut Vec::new(), &mut actions, START));
     assert!(backend.ejected_until.is_none());
-    assert!(!backend.is_ready(START + ms(20), &b.settings) && backend.is_ready(START + ms(100), &b.settings));
+    assert!(
+        !backend.is_ready(START + ms(20), &balancer.settings)
+            && backend.is_ready(START + ms(100), &balancer.settings)
+    );
 }
 
 #[test]
 fn a_full_backend_rests() {
-    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
-    b.tier.response_ms.add(40.0, 1.0);
+    let (mut balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    balancer.tier.response_ms.add(40.0, 1.0);
     let mut backend = Backend { in_flight: 1.0, ..Backend::default() };
     backend.attempt_ended(
         &attempt_end(Outcome::Full),
         None,
-        &mut context(&b, &mut tier_inbox, &mut actions, START),
+        &mut context(&balancer, &mut tier_inbox, &mut actions, START),
     );
-    assert!(!backend.is_ready(START, &b.settings));
-    assert!(backend.is_ready(START + ms(40), &b.settings));
+    assert!(!backend.is_ready(START, &balancer.settings));
+    assert!(backend.is_ready(START + ms(40), &balancer.settings));
 }
 
 #[test]
 fn a_backend_in_slow_start_waits_for_credit_and_gets_one_attempt_at_a_time() {
-    let (b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    let (balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let mut backend = Backend { listing: listing(0), ..Backend::default() };
     let started = Listing { started: Some(START), ..listing(0) };
-    backend.handle(BackendMessage::Listed(started), &mut context(&b, &mut tier_inbox, &mut actions, START));
-    assert!(!backend.is_ready(START, &b.settings));
+    backend.handle(
+        BackendMessage::Listed(started),
+        &mut context(&balancer, &mut tier_inbox, &mut actions, START),
+    );
+    assert!(!backend.is_ready(START, &balancer.settings));
     backend.slow_start_credit = 1.0;
-    assert!(backend.is_ready(START, &b.settings));
+    assert!(backend.is_ready(START, &balancer.settings));
     backend.in_flight = 1.0;
-    assert!(!backend.is_ready(START, &b.settings));
+    assert!(!backend.is_ready(START, &balancer.settings));
 }
 
 #[test]
 fn slow_start_credit_grows_slower_than_the_capacity() {
-    let (mut b, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
+    let (mut balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let slow_start =
         SlowStart { initial_share: 0.2, ramp: ms(10_000), overload_ratio: 3.0, overload_window: ms(2000) };
-    (b.settings.slow_start, b.tier.rate_per_backend) = (slow_start, 10.0);
+    (balancer.settings.slow_start, balancer.tier.rate_per_backend) = (slow_start, 10.0);
     let mut backend =
         Backend { listing: Listing { started: Some(START), ..listing(0) }, ..Backend::default() };
-    backend.tick(&mut context(&b, &mut tier_inbox, &mut actions, START));
+    backend.tick(&mut context(&balancer, &mut tier_inbox, &mut actions, START));
     assert!(backend.slow_start_credit > 0.0 && backend.slow_start_credit < 0.2 * 3.0 * 10.0 / TICKS_PER_S);
 }
 
 /// Guards against taking the attempt whose response brings the report for an attempt of another instance.
 #[test]
 fn a_load_report_counts_the_attempt_whose_response_it_came_with() {
-    let b = balancer(Effect::Safe, 1);
+    let balancer = balancer(Effect::Safe, 1);
     let mut backend = Backend { in_flight: 2.0, ..Backend::default() };
     let load = Load { in_flight: Some(5.0), queued: None };
     let end = AttemptEnd { load, ..attempt_end(Outcome::Served) };
     backend.handle(
         BackendMessage::AttemptEnded(end, None),
-        &mut context(&b, &mut Vec::new(), &mut Vec::new(), START),
+        &mut context(&balancer, &mut Vec::new(), &mut Vec::new(), START),
     );
     assert_eq!((backend.in_flight, backend.reported_others), (1.0, Some((START, 3.0))));
 }
@@ -459,7 +474,7 @@
 /// Guards against ejecting a restarted backend, or taking it for busy, because of its previous process.
 #[test]
 fn attempts_sent_before_a_restart_say_nothing_about_the_backend() {
-    let b = balancer(Effect::Safe, 1);
+    let balancer = balancer(Effect::Safe, 1);
     let restarted = Listing { started: Some(START + ms(10)), ..listing(0) };
     let mut backend = Backend { in_flight: 2.0, listing: restarted, ..Backend::default() };
     for (now, failure_score) in [(START + ms(50), 0.0), (START + ms(70), 1.0)] {
@@ -467,7 +482,7 @@
             AttemptEnd { load: Load { in_flight: Some(5.0), queued: None }, ..attempt_end(Outcome::Broken) };
         backend.handle(
             BackendMessage::AttemptEnded(end, None),
-            &mut context(&b, &mut Vec::new(), &mut Vec::new(), now),
+            &mut context(&balancer, &mut Vec::new(), &mut Vec::new(), now),
         );
         assert_eq!(
             (backend.failure_score, backend.reported_others.is_some()),
@@ -479,12 +494,12 @@
 
 #[test]
 fn the_backend_with_the_lower_load_is_chosen() {
-    let mut b = balancer(Effect::Safe, 2);
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
-    b.backends.get_mut(&id(0)).unwrap().reported_others = Some((START, 5.0));
-    b.backends.get_mut(&id(1)).unwrap().in_flight = 2.0;
-    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START, 0.0));
-    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
+    let mut balancer = balancer(Effect::Safe, 2);
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    balancer.backends.get_mut(&id(0)).unwrap().reported_others = Some((START, 5.0));
+    balancer.backends.get_mut(&id(1)).unwrap().in_flight = 2.0;
+    balancer.backends.get_mut(&id(1)).unwrap().reported_others = Some((START, 0.0));
+    assert!((0..20).all(|_| choose(&mut balancer) == Some(id(1))));
 }
 
 /// A tier with a full window of samples of this latency in ms.
@@ -533,12 +548,12 @@
 
 #[test]
 fn an_ejected_backend_gets_one_trial_attempt_after_its_ejection() {
-    let b = balancer(Effect::Safe, 4);
+    let balancer = balancer(Effect::Safe, 4);
     let mut backend = Backend { ejected_until: Some(START + ms(1000)), ..Backend::default() };
-    assert!(!backend.is_ready(START + ms(999), &b.settings));
-    assert!(backend.is_ready(START + ms(1000), &b.settings));
+    assert!(!backend.is_ready(START + ms(999), &balancer.settings));
+    assert!(backend.is_ready(START + ms(1000), &balancer.settings));
     backend.in_flight = 1.0;
-    assert!(!backend.is_ready(START + ms(1000), &b.settings));
+    assert!(!backend.is_ready(START + ms(1000), &balancer.settings));
 }
 
 #[test]
@@ -563,49 +578,49 @@
 
 /// A balancer that has requested load reports from two backends, with request 1 waiting for them.
 fn awaiting_reports() -> Balancer {
-    let mut b = balancer(Effect::Safe, 2);
-    (b.settings.report_price, b.settings.instances) = (Some(0.001), 9);
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
-    b.queue.first_attempts.push(RequestId(1));
-    assert!(b.send_next(&mut Vec::new()));
-    b
+    let mut balancer = balancer(Effect::Safe, 2);
+    (balancer.settings.report_price, balancer.settings.instances) = (Some(0.001), 9);
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    balancer.queue.first_attempts.push(RequestId(1));
+    assert!(balancer.send_next(&mut Vec::new()));
+    balancer
 }
 
 #[test]
 fn where_instances_outnumber_backends_load_reports_are_requested_first() {
-    let (mut b, mut actions) = (balancer(Effect::Safe, 2), Vec::new());
-    (b.settings.report_price, b.settings.instances) = (Some(0.001), 9);
-    b.handle(START, Event::RequestReceived(request(1)), &mut actions);
+    let (mut balancer, mut actions) = (balancer(Effect::Safe, 2), Vec::new());
+    (balancer.settings.report_price, balancer.settings.instances) = (Some(0.001), 9);
+    balancer.handle(START, Event::RequestReceived(request(1)), &mut actions);
     assert_eq!(actions.iter().filter(|action| matches!(action, Action::Check { .. })).count(), 2);
     assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })));
 }
 
 #[test]
 fn of_two_backends_with_reports_the_less_loaded_is_chosen() {
-    let mut b = awaiting_reports();
+    let mut balancer = awaiting_reports();
     let at = START + ms(1);
-    b.backends.get_mut(&id(0)).unwrap().reported_others = Some((at, 3.0));
-    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((at, 0.0));
-    assert_eq!(b.choose_by_reports(RequestId(1)), Some(id(1)));
+    balancer.backends.get_mut(&id(0)).unwrap().reported_others = Some((at, 3.0));
+    balancer.backends.get_mut(&id(1)).unwrap().reported_others = Some((at, 0.0));
+    assert_eq!(balancer.choose_by_reports(RequestId(1)), Some(id(1)));
 }
 
 #[test]
 fn the_wait_for_a_missing_load_report_is_bounded() {
-    let mut b = awaiting_reports();
-    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START + ms(1), 3.0));
-    b.now = START + ms(2);
-    assert_eq!(b.choose_by_reports(RequestId(1)), None);
-    b.now = START + ms(20);
-    assert_eq!(b.choose_by_reports(RequestId(1)), Some(id(1)));
+    let mut balancer = awaiting_reports();
+    balancer.backends.get_mut(&id(1)).unwrap().reported_others = Some((START + ms(1), 3.0));
+    balancer.now = START + ms(2);
+    assert_eq!(balancer.choose_by_reports(RequestId(1)), None);
+    balancer.now = START + ms(20);
+    assert_eq!(balancer.choose_by_reports(RequestId(1)), Some(id(1)));
 }
 
 #[test]
 fn a_backend_removed_while_its_report_is_awaited_is_not_chosen() {
-    let mut b = awaiting_reports();
-    b.backends.remove(&id(0));
-    b.sampler = BackendSampler::default();
-    b.now = START + ms(20);
-    assert_eq!(b.choose_by_reports(RequestId(1)), Some(id(1)));
+    let mut balancer = awaiting_reports();
+    balancer.backends.remove(&id(0));
+    balancer.sampler = BackendSampler::default();
+    balancer.now = START + ms(20);
+    assert_eq!(balancer.choose_by_reports(RequestId(1)), Some(id(1)));
 }
 
 /// How many of 20 searches find the only eligible backend, number 7, among 12 of which 0 to 2 are in the own
@@ -628,10 +643,10 @@
 fn each_of_many_instances_uses_a_subset_and_all_backends_are_used() {
     let mut users = std::collections::BTreeMap::<_, usize>::new();
     for ordinal in 0..100 {
-        let mut b = balancer(Effect::Safe, 20);
-        (b.settings.instances, b.settings.ordinal) = (100, ordinal);
-        b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
-        let subset: std::collections::BTreeSet<_> = (0..200).filter_map(|_| choose(&mut b)).collect();
+        let mut balancer = balancer(Effect::Safe, 20);
+        (balancer.settings.instances, balancer.settings.ordinal) = (100, ordinal);
+        balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+        let subset: std::collections::BTreeSet<_> = (0..200).filter_map(|_| choose(&mut balancer)).collect();
         assert!(subset.len() <= MIN_SUBSET_BACKENDS as usize);
         subset.into_iter().for_each(|id| *users.entry(id).or_default() += 1);
     }
@@ -654,55 +669,56 @@
 }
 
 fn keyed(key: u64, backends: u8) -> Balancer {
-    let mut b = balancer(Effect::Safe, backends);
-    b.settings.key_affinity = true;
-    b.queue.pending.insert(RequestId(1), PendingRequest { key: Some(key), ..pending(Effect::Safe) });
-    b
+    let mut balancer = balancer(Effect::Safe, backends);
+    balancer.settings.key_affinity = true;
+    balancer.queue.pending.insert(RequestId(1), PendingRequest { key: Some(key), ..pending(Effect::Safe) });
+    balancer
 }
 
 #[test]
 fn a_key_has_one_home_until_it_is_busy_and_more_if_it_is_much_of_the_traffic() {
-    let mut b = keyed(5, 20);
-    (100..160).for_each(|other| b.queue.keys.add(other));
-    let homes =
-        |b: &mut Balancer| (0..100).filter_map(|_| choose(b)).collect::<std::collections::BTreeSet<_>>();
-    let home = homes(&mut b);
+    let mut balancer = keyed(5, 20);
+    (100..160).for_each(|other| balancer.queue.keys.add(other));
+    let homes = |balancer: &mut Balancer| {
+        (0..100).filter_map(|_| choose(balancer)).collect::<std::collections::BTreeSet<_>>()
+    };
+    let home = homes(&mut balancer);
     assert_eq!(home.len(), 1);
-    b.backends.get_mut(home.first().unwrap()).unwrap().in_flight = 9.0;
-    assert!(homes(&mut b).is_disjoint(&home));
-    let mut b = keyed(5, 20);
-    (0..30).for_each(|n| b.queue.keys.add(if n % 3 == 0 { 5 } else { n }));
-    assert!(homes(&mut b).len() > 3);
+    balancer.backends.get_mut(home.first().unwrap()).unwrap().in_flight = 9.0;
+    assert!(homes(&mut balancer).is_disjoint(&home));
+    let mut balancer = keyed(5, 20);
+    (0..30).for_each(|n| balancer.queue.keys.add(if n % 3 == 0 { 5 } else { n }));
+    assert!(homes(&mut balancer).len() > 3);
 }
 
 #[test]
 fn a_retry_goes_to_another_backend_than_the_last_attempt() {
-    let mut b = keyed(5, 20);
-    let home = choose(&mut b);
-    b.queue.pending.get_mut(&RequestId(1)).unwrap().last_backend = home;
-    assert!(choose(&mut b) != home);
-    (1..20).for_each(|n| drop(b.backends.remove(&id(n))));
-    b.sampler = BackendSampler::default();
-    assert!(choose(&mut b) == Some(id(0)));
+    let mut balancer = keyed(5, 20);
+    let home = choose(&mut balancer);
+    balancer.queue.pending.get_mut(&RequestId(1)).unwrap().last_backend = home;
+    assert!(choose(&mut balancer) != home);
+    (1..20).for_each(|n| drop(balancer.backends.remove(&id(n))));
+    balancer.sampler = BackendSampler::default();
+    assert!(choose(&mut balancer) == Some(id(0)));
 }
 
 #[test]
 fn of_two_idle_backends_the_larger_is_chosen() {
-    let mut b = balancer(Effect::Safe, 2);
-    b.tier.mean_size = 2.0;
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
-    b.backends.get_mut(&id(0)).unwrap().listing.size = 3.0;
-    assert!((0..20).all(|_| choose(&mut b) == Some(id(0))));
+    let mut balancer = balancer(Effect::Safe, 2);
+    balancer.tier.mean_size = 2.0;
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    balancer.backends.get_mut(&id(0)).unwrap().listing.size = 3.0;
+    assert!((0..20).all(|_| choose(&mut balancer) == Some(id(0))));
 }
 
 #[test]
 fn a_busy_backend_of_the_own_zone_is_weighed_against_unreported_load_elsewhere() {
-    let mut b = balancer(Effect::Safe, 2);
-    (b.settings.cross_zone_priced, b.tier.in_flight) = (true, 4.0);
-    b.sampler = BackendSampler::new([listing(0), listing(1)].into_iter(), ZoneId(0), 2.0, 0);
+    let mut balancer = balancer(Effect::Safe, 2);
+    (balancer.settings.cross_zone_priced, balancer.tier.in_flight) = (true, 4.0);
+    balancer.sampler = BackendSampler::new([listing(0), listing(1)].into_iter(), ZoneId(0), 2.0, 0);
     let mut prefers_own_zone = |in_flight| {
-        b.backends.get_mut(&id(0)).unwrap().in_flight = in_flight;
-        b.backend_load(id(0)) < b.backend_load(id(1))
+        balancer.backends.get_mut(&id(0)).unwrap().in_flight = in_flight;
+        balancer.backend_load(id(0)) < balancer.backend_load(id(1))
     };
     assert!(prefers_own_zone(2.0) && !prefers_own_zone(3.0));
 }
@@ -904,12 +920,12 @@
 #[test]
 fn where_instances_outnumber_backends_reported_load_refuses_requests() {
     let is_accepted = |in_flight: f64, instances: usize| {
-        let mut b = balancer(Effect::Safe, 4);
-        b.settings.instances = instances;
-        b.backends.values_mut().for_each(|b| b.reported_others = Some((START, in_flight)));
+        let mut balancer = balancer(Effect::Safe, 4);
+        balancer.settings.instances = instances;
+        balancer.backends.values_mut().for_each(|backend| backend.reported_others = Some((START, in_flight)));
         let mut actions = Vec::new();
-        b.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
-        b.handle(START, Event::RequestReceived(request(1)), &mut actions);
+        balancer.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
+        balancer.handle(START, Event::RequestReceived(request(1)), &mut actions);
         !actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
     };
     assert!(is_accepted(30.0, 1) && is_accepted(1.0, 40));
@@ -918,11 +934,11 @@
 
 #[test]
 fn an_old_load_report_has_little_weight_in_the_mean() {
-    let mut b = balancer(Effect::Safe, 2);
-    b.backends.get_mut(&id(0)).unwrap().reported_others = Some((START, 40.0));
+    let mut balancer = balancer(Effect::Safe, 2);
+    balancer.backends.get_mut(&id(0)).unwrap().reported_others = Some((START, 40.0));
     let now = START + ms(20_000);
-    b.backends.get_mut(&id(1)).unwrap().reported_others = Some((now, 2.0));
-    let TierMessage::Tick { mean_others, .. } = summarize_backends(b.backends.values(), now) else {
+    balancer.backends.get_mut(&id(1)).unwrap().reported_others = Some((now, 2.0));
+    let TierMessage::Tick { mean_others, .. } = summarize_backends(balancer.backends.values(), now) else {
         panic!()
     };
     assert!(mean_others < 2.0, "{mean_others}");
@@ -931,32 +947,34 @@
 /// One of many instances observed backend 0 fail and sends this to another.
 #[test]
 fn a_peers_observation_keeps_requests_away_until_it_is_old() {
-    let mut b = balancer(Effect::Safe, 2);
-    (b.settings.peer_messages, b.settings.instances, b.tier.instances_per_backend) = (true, 8, 4.0);
-    b.queue.pending.insert(RequestId(1), pending(Effect::Safe));
+    let mut balancer = balancer(Effect::Safe, 2);
+    (balancer.settings.peer_messages, balancer.settings.instances, balancer.tier.instances_per_backend) =
+        (true, 8, 4.0);
+    balancer.queue.pending.insert(RequestId(1), pending(Effect::Safe));
     let observation = |age| Observation { backend: id(0), age, in_flight: Some(0.0), failure_ratio: 1.0 };
     let bytes = encode(&Default::default(), [observation(ms(100)), observation(ms(4000))].into_iter());
-    b.handle(START + ms(5000), Event::PeerMessage { from: PeerId(3), bytes }, &mut Vec::new());
-    assert!((0..20).all(|_| choose(&mut b) == Some(id(1))));
-    b.now = START + ms(60_000);
-    assert!((0..60).any(|_| choose(&mut b) == Some(id(0))));
+    balancer.handle(START + ms(5000), Event::PeerMessage { from: PeerId(3), bytes }, &mut Vec::new());
+    assert!((0..20).all(|_| choose(&mut balancer) == Some(id(1))));
+    balancer.now = START + ms(60_000);
+    assert!((0..60).any(|_| choose(&mut balancer) == Some(id(0))));
 }
 
 #[test]
 fn an_instance_sends_observations_to_one_other_and_only_if_peer_messages_are_allowed() {
     for (peer_messages, instances, message_count) in [(true, 5, 1), (true, 1, 0), (false, 5, 0)] {
-        let mut b = balancer(Effect::Safe, 2);
-        (b.settings.peer_messages, b.settings.instances, b.settings.ordinal) = (peer_messages, instances, 3);
-        b.backends.get_mut(&id(1)).unwrap().reported_others = Some((START, 2.0));
-        b.queue.keys.add(7);
+        let mut balancer = balancer(Effect::Safe, 2);
+        (balancer.settings.peer_messages, balancer.settings.instances, balancer.settings.ordinal) =
+            (peer_messages, instances, 3);
+        balancer.backends.get_mut(&id(1)).unwrap().reported_others = Some((START, 2.0));
+        balancer.queue.keys.add(7);
         let mut actions = Vec::new();
-        b.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
+        balancer.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
         assert!(
             !actions.iter().any(|action| matches!(action, Action::SendToPeer { .. })),
             "no request was received"
         );
-        b.queue.received_since_message = true;
-        b.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
+        balancer.queue.received_since_message = true;
+        balancer.handle(START, Event::TimerExpired(TICK_TIMER), &mut actions);
         let messages: Vec<_> = actions
             .iter()
             .filter_map(|action| match action {
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,5 +1,4 @@
-//! Points in time and spans between them, in whole microseconds, as separate types so that they are not mixed
-//! up.
+//! Points in time and spans between them in whole microseconds, as separate types that can't be mixed up.
 
 use std::ops::{Add, Sub};
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -278,17 +278,14 @@
             let (overload_ratio, part_ratio) =
                 (simulation.worst_overload_ratio(), simulation.even_part_ratio());
             println!(
-                "{scenario:?}, {count} instances, seed {seed}: {overload_ratio:.2} of what overloads a backend, {part_ratio:.2} of an even part"
+                "{scenario:?}, {count} instances, seed {seed}: load {overload_ratio:.2}, part {part_ratio:.2}"
             );
             assert!(
                 overload_ratio < 1.0,
-                "{scenario:?}, {count} instances, seed {seed}: {overload_ratio:.2} of what overloads a backend"
+                "{scenario:?}, {count} instances, seed {seed}: overload {overload_ratio:.2}"
             );
             // A starting backend must get some of the load, or the others have to carry it.
-            assert!(
-                part_ratio > 0.2,
-                "{scenario:?}, {count} instances, seed {seed}: {part_ratio:.2} of an even part"
-            );
+            assert!(part_ratio > 0.2, "{scenario:?}, {count} instances, seed {seed}: part {part_ratio:.2}");
         }
     }
 }
