--- a/crates/proxy/tests/accept_failures.rs
+++ b/crates/proxy/tests/accept_failures.rs
@@ -5,8 +5,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use helper::shim::{errno, Call, Fault, Shim};
-use helper::{backend, kept, message, serve, settings, write, Proxy};
+use helper::shim::{errno, Fault, Shim, SystemCall};
+use helper::{backend, keep_alive_request, read_message, serve, settings, write, Proxy};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 
 /// Everything that `accept` can fail with by accept(2), for a moment.
@@ -32,8 +32,8 @@
 const SOON: Duration = Duration::from_millis(500);
 
 fn ask(client: &mut TcpStream) -> String {
-    write(client, &kept("GET", "/read"));
-    message(client)
+    write(client, &keep_alive_request("GET", "/read"));
+    read_message(client)
 }
 
 /// Clients that use their connections.
@@ -56,16 +56,16 @@
             let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
             serve(listener);
             let mut clients = used(&proxy);
-            shim.fail(Fault::of(Call::Accept, error, times));
+            shim.inject(Fault::with_error(SystemCall::Accept, error, times));
             let mut new = proxy.connect();
             let start = Instant::now();
-            write(&mut new, &kept("GET", "/read"));
+            write(&mut new, &keep_alive_request("GET", "/read"));
             new.set_read_timeout(Some(SOON)).unwrap();
             let answered = new.peek(&mut [0]);
             let case = format!("{times} times error {error}, after {:?}", start.elapsed());
             assert_eq!(answered.ok(), Some(1), "not served: {case}");
-            assert!(message(&mut new).ends_with("fine"), "{case}");
-            assert_eq!(shim.hits(Call::Accept), times, "{case}");
+            assert!(read_message(&mut new).ends_with("fine"), "{case}");
+            assert_eq!(shim.hits(SystemCall::Accept), times, "{case}");
             clients.iter_mut().for_each(|client| assert!(ask(client).ends_with("fine"), "{case}"));
         }
     }
@@ -80,15 +80,15 @@
             let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
             serve(listener);
             let port = proxy.address.rsplit(':').next().unwrap().parse().unwrap();
-            shim.fail(Fault::of(Call::EpollAdd, error, times).at(port));
+            shim.inject(Fault::with_error(SystemCall::EpollAdd, error, times).on_port(port));
             let mut new = proxy.connect();
-            write(&mut new, &kept("GET", "/read"));
+            write(&mut new, &keep_alive_request("GET", "/read"));
             new.set_read_timeout(Some(SOON)).unwrap();
             let case = format!("{times} times error {error}");
             assert_eq!(new.peek(&mut [0]).ok(), Some(1), "not served: {case}");
-            assert!(message(&mut new).ends_with("fine"), "{case}");
+            assert!(read_message(&mut new).ends_with("fine"), "{case}");
             // Served or not, it is tried until the queue takes it.
-            shim.wait_for_hits(Call::EpollAdd, times);
+            shim.wait_for_hits(SystemCall::EpollAdd, times);
         }
     }
 }
@@ -102,15 +102,15 @@
     serve(listener);
     proxy.signal("-TERM");
     std::thread::sleep(Duration::from_millis(450));
-    shim.fail(Fault::of(Call::Accept, errno::ENFILE, 60));
+    shim.inject(Fault::with_error(SystemCall::Accept, errno::ENFILE, 60));
     let mut clients: Vec<_> = (0..4).map(|_| proxy.connect()).collect();
-    clients.iter_mut().for_each(|client| write(client, &kept("GET", "/read")));
+    clients.iter_mut().for_each(|client| write(client, &keep_alive_request("GET", "/read")));
     for client in &mut clients {
         assert_eq!(client.peek(&mut [0]).ok(), Some(1), "not answered");
-        assert!(message(client).contains("Connection: close"));
+        assert!(read_message(client).contains("Connection: close"));
     }
     drop(clients);
-    assert_eq!(proxy.end(), Some(0));
+    assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
 /// Guards against operators that wait until the next one calls.
@@ -119,7 +119,7 @@
     let listener = backend();
     let (proxy, shim) = Shim::start(&[&listener], &settings(500, ""));
     for error in ERRORS {
-        shim.fail(Fault::of(Call::Accept, error, 2));
+        shim.inject(Fault::with_error(SystemCall::Accept, error, 2));
         let mut operator = TcpStream::connect(&proxy.management).unwrap();
         write(&mut operator, "GET /ready HTTP/1.1\r\n\r\n");
         operator.set_read_timeout(Some(SOON)).unwrap();
@@ -132,20 +132,20 @@
 fn more_clients_are_let_in_once_the_process_may_have_more_descriptors() {
     let listener = backend();
     let proxy = Proxy::start_limited(&[&listener], 1024, 1024, &settings(5000, ""));
-    let process = Pid::from_raw(proxy.id() as i32);
+    let process = Pid::from_raw(proxy.pid() as i32);
     let limit =
         |current| prlimit(process, Resource::Nofile, Rlimit { current: Some(current), maximum: Some(1024) });
     limit(40).unwrap();
     let mut clients: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
-    proxy.logged("cannot accept");
-    proxy.logged("room for clients by the process's limit");
+    proxy.wait_for_log("cannot accept");
+    proxy.wait_for_log("room for clients by the process's limit");
     limit(1024).unwrap();
     let start = Instant::now();
     for client in &mut clients {
         write(client, "GET /ready HTTP/1.1\r\n\r\n");
     }
     for client in &mut clients {
-        assert!(message(client).starts_with("HTTP/1.1 200"));
+        assert!(read_message(client).starts_with("HTTP/1.1 200"));
     }
     assert!(start.elapsed() < SOON, "after {:?}", start.elapsed());
 }
--- a/crates/proxy/tests/answering.rs
+++ b/crates/proxy/tests/answering.rs
@@ -6,7 +6,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use helper::{accept, answer, backend, close, counted, message, request, settings, write, Proxy};
+use helper::{accept, backend, close, counter, read_message, request, response, settings, write, Proxy};
 
 /// Closes a connection with a reset.
 fn reset(conn: TcpStream) {
@@ -26,23 +26,23 @@
     let mut client = proxy.connect();
     write(&mut client, &request(method, path, "30"));
     let mut conn = accept(&backend);
-    message(&mut conn);
+    read_message(&mut conn);
     // Both in one turn: guards against a part that goes on before the end is there.
-    proxy.hold();
+    proxy.pause();
     write(&mut conn, begins);
     end(conn);
-    proxy.go_on();
+    proxy.resume();
     let (listener, mut all) = (backend.try_clone().unwrap(), Vec::new());
     std::thread::spawn(move || serve(&listener));
     let _ = client.read_to_end(&mut all);
-    (all, counted(&proxy, "forwards"))
+    (all, counter(&proxy, "forwards"))
 }
 
 /// Answers what comes from here on.
 fn serve(listener: &TcpListener) {
     while let Ok((mut conn, _)) = listener.accept() {
-        if !message(&mut conn).is_empty() {
-            write(&mut conn, &answer("200 OK", "Connection: close\r\n", "fine"));
+        if !read_message(&mut conn).is_empty() {
+            write(&mut conn, &response("200 OK", "Connection: close\r\n", "fine"));
         }
     }
 }
@@ -92,7 +92,7 @@
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/write", "30"));
     let mut conn = accept(&backend);
-    message(&mut conn);
+    read_message(&mut conn);
     write(&mut conn, &format!("{UNKNOWN}half"));
     let (mut all, mut byte) = (Vec::new(), [0]);
     while !all.ends_with(b"half\r\n") {
@@ -103,7 +103,7 @@
     let _ = client.read_to_end(&mut all);
     let text = String::from_utf8(all).unwrap();
     assert!(text.contains("Transfer-Encoding: chunked") && !text.ends_with("0\r\n\r\n"), "{text}");
-    assert_eq!(counted(&proxy, "forwards"), 1);
+    assert_eq!(counter(&proxy, "forwards"), 1);
 }
 
 /// Words on the way are no answer: silence behind them ends as silence does, by the request's time.
@@ -114,9 +114,9 @@
     let (mut client, from) = (proxy.connect(), Instant::now());
     write(&mut client, &request("POST", "/write", "1"));
     let mut conn = accept(&backend);
-    message(&mut conn);
+    read_message(&mut conn);
     write(&mut conn, "HTTP/1.1 102 Processing\r\n\r\n");
-    assert!(message(&mut client).starts_with("HTTP/1.1 502"));
+    assert!(read_message(&mut client).starts_with("HTTP/1.1 502"));
     assert!(from.elapsed() < Duration::from_secs(1), "{:?}", from.elapsed());
     assert_eq!(conn.read(&mut [0]).unwrap(), 0, "and the attempt is given up");
 }
@@ -129,11 +129,11 @@
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/write", "0.8"));
     let mut conn = accept(&backend);
-    message(&mut conn);
-    proxy.hold();
-    write(&mut conn, &answer("200 OK", "", "fine"));
+    read_message(&mut conn);
+    proxy.pause();
+    write(&mut conn, &response("200 OK", "", "fine"));
     std::thread::sleep(Duration::from_millis(900)); // its time passes while the loop stands still
-    proxy.go_on();
-    assert!(message(&mut client).ends_with("fine"));
-    assert_eq!(counted(&proxy, "overdue"), 0);
+    proxy.resume();
+    assert!(read_message(&mut client).ends_with("fine"));
+    assert_eq!(counter(&proxy, "overdue"), 0);
 }
--- a/crates/proxy/tests/datagram_failures.rs
+++ b/crates/proxy/tests/datagram_failures.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use helper::shim::{errno, Call, Fault, Shim};
+use helper::shim::{errno, Fault, Shim, SystemCall};
 use helper::Proxy;
 
 const COMES: Duration = Duration::from_secs(20);
@@ -25,7 +25,7 @@
 
 fn until_alive(proxies: &[&Proxy], wanted: u64, what: &str) {
     let start = Instant::now();
-    while proxies.iter().any(|proxy| proxy.figure("svc.fleet.alive") != Some(wanted)) {
+    while proxies.iter().any(|proxy| proxy.metric("svc.fleet.alive") != Some(wanted)) {
         assert!(start.elapsed() < COMES, "never came: {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -37,19 +37,19 @@
     let (first, shim) = member(0);
     let (second, _other) = member(1);
     until_alive(&[&first, &second], 2, "both are there");
-    for call in [Call::DatagramRead, Call::DatagramWrite] {
+    for call in [SystemCall::DatagramRead, SystemCall::DatagramWrite] {
         for error in [errno::EINTR, errno::ENOBUFS, errno::ENETUNREACH, errno::ECONNREFUSED] {
             let before = shim.hits(call);
-            shim.fail(Fault::of(call, error, u32::MAX));
+            shim.inject(Fault::with_error(call, error, u32::MAX));
             std::thread::sleep(Duration::from_millis(1_000));
             // Members talk about once a second.
             shim.wait_for_hits(call, before + 1);
             shim.clear(call);
         }
         until_alive(&[&first, &second], 2, "both are there again");
-        let heard = first.figure("svc.fleet.heard").unwrap();
+        let heard = first.metric("svc.fleet.heard").unwrap();
         let start = Instant::now();
-        while first.figure("svc.fleet.heard").unwrap() <= heard {
+        while first.metric("svc.fleet.heard").unwrap() <= heard {
             assert!(start.elapsed() < Duration::from_secs(5), "nothing is heard after {call:?}");
             std::thread::sleep(Duration::from_millis(50));
         }
--- a/crates/proxy/tests/dial_failures.rs
+++ b/crates/proxy/tests/dial_failures.rs
@@ -5,33 +5,33 @@
 
 use std::time::{Duration, Instant};
 
-use helper::shim::{errno, Call, Fault, Shim};
-use helper::{accept, answer, backend, kept, message, request, serve, settings, write};
+use helper::shim::{errno, Fault, Shim, SystemCall};
+use helper::{accept, backend, keep_alive_request, read_message, request, response, serve, settings, write};
 
 const SOON: Duration = Duration::from_millis(500);
 /// What a client waits at the most.
 const TARGET_MS: u32 = 500;
 
 /// A moment's failures: of socket(2), connect(2) and epoll_ctl(2).
-const FAILURES: [(Call, u32); 18] = [
-    (Call::Socket, errno::EMFILE),
-    (Call::Socket, errno::ENFILE),
-    (Call::Socket, errno::ENOBUFS),
-    (Call::Socket, errno::ENOMEM),
-    (Call::Connect, errno::EINTR),
-    (Call::Connect, errno::EAGAIN),
-    (Call::Connect, errno::EADDRNOTAVAIL),
-    (Call::Connect, errno::ENETUNREACH),
-    (Call::Connect, errno::ENETDOWN),
-    (Call::Connect, errno::ECONNABORTED),
-    (Call::Connect, errno::ENFILE),
-    (Call::Connect, errno::ENOBUFS),
-    (Call::Connect, errno::ENOMEM),
-    (Call::Connect, errno::EPERM),
-    (Call::EpollAdd, errno::ENOMEM),
-    (Call::EpollAdd, errno::ENOSPC),
-    (Call::PeerName, errno::ENOBUFS),
-    (Call::SocketError, errno::ENOBUFS),
+const FAILURES: [(SystemCall, u32); 18] = [
+    (SystemCall::Socket, errno::EMFILE),
+    (SystemCall::Socket, errno::ENFILE),
+    (SystemCall::Socket, errno::ENOBUFS),
+    (SystemCall::Socket, errno::ENOMEM),
+    (SystemCall::Connect, errno::EINTR),
+    (SystemCall::Connect, errno::EAGAIN),
+    (SystemCall::Connect, errno::EADDRNOTAVAIL),
+    (SystemCall::Connect, errno::ENETUNREACH),
+    (SystemCall::Connect, errno::ENETDOWN),
+    (SystemCall::Connect, errno::ECONNABORTED),
+    (SystemCall::Connect, errno::ENFILE),
+    (SystemCall::Connect, errno::ENOBUFS),
+    (SystemCall::Connect, errno::ENOMEM),
+    (SystemCall::Connect, errno::EPERM),
+    (SystemCall::EpollAdd, errno::ENOMEM),
+    (SystemCall::EpollAdd, errno::ENOSPC),
+    (SystemCall::PeerName, errno::ENOBUFS),
+    (SystemCall::SocketError, errno::ENOBUFS),
 ];
 
 #[test]
@@ -44,23 +44,25 @@
             let arrivals = listeners.map(serve);
             let mut client = proxy.connect();
             // Only one backend's port can be named; where none can, discovery's calls fail as well.
-            let by_port = !matches!(call, Call::Socket);
+            let by_port = !matches!(call, SystemCall::Socket);
             let times = 8;
-            let fault = Fault::of(call, error, times);
-            shim.fail(if by_port { fault.at(ports[0]) } else { fault });
+            let fault = Fault::with_error(call, error, times);
+            shim.inject(if by_port { fault.on_port(ports[0]) } else { fault });
             for _ in 0..6 {
-                let text = kept(method, path).replace("Request-Timeout: 60", "Request-Timeout: 1");
+                let text =
+                    keep_alive_request(method, path).replace("Request-Timeout: 60", "Request-Timeout: 1");
                 let start = Instant::now();
                 write(&mut client, &text);
-                let answered = message(&mut client);
+                let answered = read_message(&mut client);
                 let case =
                     format!("{call:?} error {error} {method}: {answered:?} after {:?}", start.elapsed());
                 assert!(answered.ends_with("fine"), "{case}");
                 assert!(start.elapsed() < SOON, "{case}");
-                let runs: usize = arrivals.iter().map(|all| all.of(helper::id(&text)).len()).sum();
+                let runs: usize =
+                    arrivals.iter().map(|all| all.with_id(helper::request_id(&text)).len()).sum();
                 assert_eq!(runs, 1, "{case}");
             }
-            let out = proxy.figure("svc.backends_excluded");
+            let out = proxy.metric("svc.backends_excluded");
             assert_eq!(out, Some(0), "no backend is blamed: {call:?} error {error}");
         }
     }
@@ -69,12 +71,12 @@
 /// Guards against waiting on where the time is over: the answer comes by the deadline all the same.
 #[test]
 fn a_request_that_cannot_be_sent_at_all_is_answered_in_its_time() {
-    for (call, error) in [(Call::Socket, errno::ENFILE), (Call::Connect, errno::ENETUNREACH)] {
+    for (call, error) in [(SystemCall::Socket, errno::ENFILE), (SystemCall::Connect, errno::ENETUNREACH)] {
         let listener = backend();
         let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
-        shim.fail(Fault::of(call, error, u32::MAX));
+        shim.inject(Fault::with_error(call, error, u32::MAX));
         let start = Instant::now();
-        let answered = proxy.ask(&request("POST", "/write", "0.3"));
+        let answered = proxy.fetch(&request("POST", "/write", "0.3"));
         assert!(answered.starts_with("HTTP/1.1 50"), "{call:?}: {answered:?}");
         assert!(start.elapsed() < Duration::from_millis(350), "{call:?}: after {:?}", start.elapsed());
     }
@@ -86,19 +88,19 @@
     let listener = backend();
     let port = listener.local_addr().unwrap().port();
     let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
-    shim.fail(Fault::of(Call::Write, errno::ENOBUFS, u32::MAX).at(port));
+    shim.inject(Fault::with_error(SystemCall::Write, errno::ENOBUFS, u32::MAX).on_port(port));
     let mut client = proxy.connect();
     let start = Instant::now();
     write(&mut client, &request("GET", "/read", "2"));
     let mut conn = accept(&listener);
     std::thread::sleep(Duration::from_millis(600));
-    shim.clear(Call::Write);
-    let text = message(&mut conn);
+    shim.clear(SystemCall::Write);
+    let text = read_message(&mut conn);
     let told = text.lines().find_map(|line| line.strip_prefix("Request-Timeout: ")).unwrap();
     let left = 2.0 - start.elapsed().as_secs_f64();
     assert!(told.parse::<f64>().unwrap() <= left + 0.15, "told {told}, left {left}");
-    write(&mut conn, &answer("200 OK", "", "fine"));
-    assert!(message(&mut client).ends_with("fine"));
+    write(&mut conn, &response("200 OK", "", "fine"));
+    assert!(read_message(&mut client).ends_with("fine"));
 }
 
 /// Guards against backends that count as silent because this machine could not send to them.
@@ -110,20 +112,21 @@
     // Until what is usual is known, by which silence is judged.
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(4_500) {
-        assert!(proxy.ask(&request("POST", "/write", "1")).ends_with("fine"));
+        assert!(proxy.fetch(&request("POST", "/write", "1")).ends_with("fine"));
     }
-    for (call, error) in [(Call::Socket, errno::ENFILE), (Call::Connect, errno::ENETUNREACH)] {
-        shim.fail(Fault::of(call, error, u32::MAX));
-        let waiting: Vec<_> = (0..8).map(|_| helper::asks(&proxy, &request("POST", "/write", "4"))).collect();
+    for (call, error) in [(SystemCall::Socket, errno::ENFILE), (SystemCall::Connect, errno::ENETUNREACH)] {
+        shim.inject(Fault::with_error(call, error, u32::MAX));
+        let waiting: Vec<_> =
+            (0..8).map(|_| helper::send_request(&proxy, &request("POST", "/write", "4"))).collect();
         let start = Instant::now();
         while start.elapsed() < Duration::from_millis(1_500) {
-            let out = proxy.figure("svc.backends_excluded");
+            let out = proxy.metric("svc.backends_excluded");
             assert_eq!(out, Some(0), "{call:?} error {error}, after {:?}", start.elapsed());
             std::thread::sleep(Duration::from_millis(20));
         }
         shim.clear(call);
         for mut client in waiting {
-            assert!(message(&mut client).ends_with("fine"), "{call:?} error {error}");
+            assert!(read_message(&mut client).ends_with("fine"), "{call:?} error {error}");
         }
     }
 }
--- a/crates/proxy/tests/dialling.rs
+++ b/crates/proxy/tests/dialling.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, Instant};
 
 use helper::{
-    accept, answer, backend, close, counted, fill, message, request, settings, unreachable, write, Proxy,
+    accept, backend, close, counter, fill_backlog, read_message, request, response, settings,
+    unreachable_backend, write, Proxy,
 };
 
 /// Long deadlines, and much time for a connection to come up: what does in a second here has not come up late.
@@ -30,21 +31,21 @@
 /// Guards against a backend that goes on working for a client that waits no more.
 #[test]
 fn an_attempt_tells_what_is_left_when_it_is_written_not_when_it_was_decided() {
-    let (backend, full) = unreachable();
+    let (backend, full) = unreachable_backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &slow(r#""effect":"pure""#));
     let (mut client, sent) = (proxy.connect(), Instant::now());
     write(&mut client, &request("GET", "/read", "15"));
-    while counted(&proxy, "dialled") < 1 {}
+    while counter(&proxy, "dialled") < 1 {}
     std::thread::sleep(Duration::from_millis(500));
     // It can't have been written before this.
     let passed = sent.elapsed().as_secs_f64();
     make_way(&backend, &full);
     let mut conn = accept(&backend);
-    let text = message(&mut conn);
+    let text = read_message(&mut conn);
     assert!(told(&text) <= 15.0 - passed, "{} s told, {passed} s after it came", told(&text));
     assert!(told(&text) > 5.0, "{}", told(&text));
-    write(&mut conn, &answer("200 OK", "", "fine"));
-    assert!(message(&mut client).ends_with("fine"));
+    write(&mut conn, &response("200 OK", "", "fine"));
+    assert!(read_message(&mut client).ends_with("fine"));
 }
 
 /// A further attempt of what may have run is dialled, and comes up after some time; the answer's status, and how many
@@ -56,21 +57,21 @@
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/read", "15"));
     let mut first = accept(&backend);
-    message(&mut first);
-    let full = fill(&backend);
+    read_message(&mut first);
+    let full = fill_backlog(&backend);
     close(first);
-    while counted(&proxy, "forwards") < 2 {}
+    while counter(&proxy, "forwards") < 2 {}
     std::thread::sleep(wait);
     make_way(&backend, &full);
     let (got, seen) = channel();
     std::thread::spawn(move || {
         while let Ok((mut conn, _)) = backend.accept() {
-            if !message(&mut conn).is_empty() && got.send(()).is_ok() {
-                write(&mut conn, &answer("200 OK", "", "fine"));
+            if !read_message(&mut conn).is_empty() && got.send(()).is_ok() {
+                write(&mut conn, &response("200 OK", "", "fine"));
             }
         }
     });
-    let answer = message(&mut client);
+    let answer = read_message(&mut client);
     (answer, seen.try_iter().count())
 }
 
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -8,7 +8,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use helper::{accept, answer, ask, backend, message, refusing, request, settings, write, Proxy};
+use helper::{
+    accept, backend, fetch, read_message, refusing_backend, request, response, settings, write, Proxy,
+};
 
 /// More than any grace for a drain, and far less than a pause that doubles comes to in these tests.
 const GRACE: Duration = Duration::from_millis(1500);
@@ -29,8 +31,8 @@
                     stream.set_read_timeout(Some(Duration::from_secs(9))).unwrap();
                     if stream.peek(&mut [0]).is_ok_and(|bytes| bytes > 0) {
                         seen.lock().unwrap().push((number, Instant::now()));
-                        message(&mut stream);
-                        write(&mut stream, &answer("200 OK", "Connection: close\r\n", "fine"));
+                        read_message(&mut stream);
+                        write(&mut stream, &response("200 OK", "Connection: close\r\n", "fine"));
                     }
                 }
             });
@@ -44,7 +46,7 @@
             let dial = self.listeners[number].local_addr().unwrap();
             format!(r#"{{"host":"h{number}","dial":"{dial}","site":"a","health":"{health}"}}"#)
         });
-        answer("200 OK", "", &format!(r#"{{"seq":5,"whole":true,"hosts":[{}]}}"#, hosts.join(",")))
+        response("200 OK", "", &format!(r#"{{"seq":5,"whole":true,"hosts":[{}]}}"#, hosts.join(",")))
     }
 
     fn got(&self, number: usize, from: Instant) -> usize {
@@ -60,7 +62,7 @@
         let asker = scope.spawn(|| {
             let mut statuses = Vec::new();
             while !done.load(Ordering::Relaxed) {
-                statuses.push(ask(&address, &request("GET", "/read", "4")).ends_with("fine"));
+                statuses.push(fetch(&address, &request("GET", "/read", "4")).ends_with("fine"));
                 std::thread::sleep(Duration::from_millis(5));
             }
             statuses
@@ -71,10 +73,10 @@
         let before = [0, 1].map(|number| backends.got(number, start));
         std::thread::spawn(move || loop {
             let mut call = accept(&agent);
-            let known = message(&mut call).contains("index=5&");
+            let known = read_message(&mut call).contains("index=5&");
             // The first is told, the rest wait for something newer.
             if !known && call.write_all(drain.as_bytes()).is_ok() {
-                message(&mut call);
+                read_message(&mut call);
             }
         });
         std::thread::sleep(GRACE + Duration::from_millis(500));
@@ -98,7 +100,7 @@
         // Four calls are given up unanswered. The agent is back the moment that the last of them is.
         for _ in 0..4 {
             let mut call = accept(&proxy.discovery);
-            assert!(message(&mut call).starts_with("GET /v1/endpoints?index=4&wait="));
+            assert!(read_message(&mut call).starts_with("GET /v1/endpoints?index=4&wait="));
             assert_eq!(call.read(&mut [0]).unwrap(), 0, "the silent call is given up");
         }
         proxy.discovery.try_clone().unwrap()
@@ -110,9 +112,9 @@
 fn a_drain_that_the_agent_has_when_it_lets_calls_in_again_binds_at_once() {
     let backends = Backends::new();
     let proxy = Proxy::start(&[&backends.listeners[0], &backends.listeners[1]]);
-    let agent = refusing();
+    let agent = refusing_backend();
     the_drain_binds(&proxy, &backends, || {
-        proxy.move_to(&agent);
+        proxy.switch_agent(&agent);
         std::thread::sleep(Duration::from_secs(4));
         socket2::SockRef::from(&agent).listen(64).unwrap();
         agent.try_clone().unwrap()
@@ -127,10 +129,10 @@
     let asked = settings(5000, "").replace(r#""discovery":"pushed""#, r#""discovery":"on_request""#);
     let proxy = Proxy::start_with(&[&backends.listeners[0], &backends.listeners[1]], 1024, &asked);
     let service = backend();
-    proxy.move_to(&service);
+    proxy.switch_agent(&service);
     let mut call = accept(&service);
     assert!(
-        message(&mut call).starts_with("GET /v1/endpoints HTTP"),
+        read_message(&mut call).starts_with("GET /v1/endpoints HTTP"),
         "a new service is asked for the whole list"
     );
     // It is busy for so long: the call has to stay open, and no second one may come.
@@ -143,9 +145,9 @@
     call.set_read_timeout(Some(Duration::from_secs(9))).unwrap();
     write(&mut call, &backends.drain());
     // The next call shows that the list was taken in.
-    assert!(message(&mut call).starts_with("GET /v1/endpoints?index=5&"));
+    assert!(read_message(&mut call).starts_with("GET /v1/endpoints?index=5&"));
     let from = Instant::now();
-    (0..20).for_each(|_| assert!(proxy.ask(&request("GET", "/read", "4")).ends_with("fine")));
+    (0..20).for_each(|_| assert!(proxy.fetch(&request("GET", "/read", "4")).ends_with("fine")));
     assert_eq!(backends.got(0, from), 0, "requests to a backend that drains");
     assert_eq!(backends.got(1, from), 20);
 }
--- a/crates/proxy/tests/discovery_failures.rs
+++ b/crates/proxy/tests/discovery_failures.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use helper::shim::{errno, Call, Fault, Shim};
-use helper::{answer, backend, message, request, serve, settings};
+use helper::shim::{errno, Fault, Shim, SystemCall};
+use helper::{backend, read_message, request, response, serve, settings};
 
 const FAULT: Duration = Duration::from_millis(1_000);
 const HEARD: Duration = Duration::from_millis(1_500);
@@ -21,7 +21,7 @@
         while let Ok((mut conn, _)) = listener.accept() {
             let (told, host) = (told.clone(), host.clone());
             std::thread::spawn(move || loop {
-                let call = message(&mut conn);
+                let call = read_message(&mut conn);
                 if call.is_empty() {
                     return;
                 }
@@ -30,7 +30,7 @@
                 let hosts = if told.load(Ordering::SeqCst) && !known { host.as_str() } else { "" };
                 let seq = if hosts.is_empty() && !known { 4 } else { 5 };
                 let list = format!(r#"{{"seq":{seq},"whole":false,"hosts":[{hosts}]}}"#);
-                if std::io::Write::write_all(&mut conn, answer("200 OK", "", &list).as_bytes()).is_err() {
+                if std::io::Write::write_all(&mut conn, response("200 OK", "", &list).as_bytes()).is_err() {
                     return;
                 }
             });
@@ -43,16 +43,16 @@
 #[test]
 fn a_drain_is_heard_soon_after_calls_to_discovery_failed() {
     let failures = [
-        (Call::Read, errno::EINTR),
-        (Call::Read, errno::ENOMEM),
-        (Call::Read, errno::ETIMEDOUT),
-        (Call::Write, errno::ENOBUFS),
-        (Call::Write, errno::EHOSTUNREACH),
-        (Call::Connect, errno::ENETUNREACH),
-        (Call::Connect, errno::EADDRNOTAVAIL),
-        (Call::Socket, errno::ENFILE),
-        (Call::EpollAdd, errno::ENOMEM),
-        (Call::PeerName, errno::ENOBUFS),
+        (SystemCall::Read, errno::EINTR),
+        (SystemCall::Read, errno::ENOMEM),
+        (SystemCall::Read, errno::ETIMEDOUT),
+        (SystemCall::Write, errno::ENOBUFS),
+        (SystemCall::Write, errno::EHOSTUNREACH),
+        (SystemCall::Connect, errno::ENETUNREACH),
+        (SystemCall::Connect, errno::EADDRNOTAVAIL),
+        (SystemCall::Socket, errno::ENFILE),
+        (SystemCall::EpollAdd, errno::ENOMEM),
+        (SystemCall::PeerName, errno::ENOBUFS),
     ];
     for (call, error) in failures {
         let listeners = [backend(), backend()];
@@ -62,11 +62,14 @@
         let port = proxy.discovery.local_addr().unwrap().port();
         let drains = agent(proxy.discovery.try_clone().unwrap(), host);
         let arrivals = listeners.map(serve);
-        let fault = Fault::of(call, error, u32::MAX);
-        shim.fail(if call == Call::Socket { fault } else { fault.at(port) });
-        if matches!(call, Call::Connect | Call::Socket | Call::EpollAdd | Call::PeerName) {
+        let fault = Fault::with_error(call, error, u32::MAX);
+        shim.inject(if call == SystemCall::Socket { fault } else { fault.on_port(port) });
+        if matches!(
+            call,
+            SystemCall::Connect | SystemCall::Socket | SystemCall::EpollAdd | SystemCall::PeerName
+        ) {
             // The connection that stands ends, so that a new one is to be made.
-            shim.fail(Fault::of(Call::Read, errno::ECONNRESET, 1).at(port));
+            shim.inject(Fault::with_error(SystemCall::Read, errno::ECONNRESET, 1).on_port(port));
         }
         std::thread::sleep(FAULT);
         drains.store(true, Ordering::SeqCst);
@@ -75,7 +78,7 @@
         let before = arrivals[0].all().len();
         let start = Instant::now();
         while start.elapsed() < Duration::from_millis(300) {
-            assert!(proxy.ask(&request("GET", "/read", "1")).ends_with("fine"), "{call:?} error {error}");
+            assert!(proxy.fetch(&request("GET", "/read", "1")).ends_with("fine"), "{call:?} error {error}");
         }
         assert_eq!(arrivals[0].all().len(), before, "the drain is not heard: {call:?} error {error}");
         assert!(shim.hits(call) > 0, "{call:?} error {error}");
--- a/crates/proxy/tests/fault_matrix.rs
+++ b/crates/proxy/tests/fault_matrix.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use helper::shim::{Call, Fault, Shim};
+use helper::shim::{Fault, Shim, SystemCall};
 use helper::{backend, settings};
 use soak::clients::Clients;
 use soak::judge::{judge, processor_time, Outcome};
@@ -29,11 +29,11 @@
 const KILL_AFTER: Duration = Duration::from_millis(700);
 const CPU_MOST: f64 = 0.7;
 
-type Case = (Call, u32, Side, u32);
+type Case = (SystemCall, u32, Side, u32);
 
 fn cases() -> Vec<Case> {
     let all = std::env::var("MATRIX").is_ok_and(|which| which == "all");
-    let of_call = |(call, errors, sides): (Call, &'static [u32], &'static [Side])| {
+    let of_call = |(call, errors, sides): (SystemCall, &'static [u32], &'static [Side])| {
         let errors = if all { errors } else { &errors[..1] };
         let of_side = move |side: &Side| {
             let side = *side;
@@ -56,15 +56,22 @@
         Side::Backends => backend_port,
         Side::Any => 0,
     };
-    let limit = proxy.figure("svc.clients.limit");
+    let limit = proxy.metric("svc.clients.limit");
     let clients = Clients::start(&proxy.address, CLIENTS, seed);
     std::thread::sleep(BEFORE);
     let used = processor_time(&proxy);
-    let fault = if error == 0 { Fault::short(call, 5, u32::MAX) } else { Fault::of(call, error, u32::MAX) };
-    let fault = fault.at(port).every(every);
+    let fault = if error == 0 {
+        Fault::short_transfer(call, 5, u32::MAX)
+    } else {
+        Fault::with_error(call, error, u32::MAX)
+    };
+    let fault = fault.on_port(port).one_in(every);
     let from = Instant::now();
-    shim.fail(fault);
-    if matches!(call, Call::FileOpen | Call::FileRead | Call::SignalWake | Call::LogWrite) {
+    shim.inject(fault);
+    if matches!(
+        call,
+        SystemCall::FileOpen | SystemCall::FileRead | SystemCall::SignalWake | SystemCall::LogWrite
+    ) {
         proxy.signal("-HUP");
     }
     std::thread::sleep(FAULT);
@@ -74,13 +81,13 @@
     assert!(cpu < CPU_MOST, "{case}: {cpu:.2} of a processor during the fault");
     std::thread::sleep(AFTER);
     let calm = (to + SETTLED, Instant::now());
-    assert_eq!(proxy.figure("svc.clients.limit"), limit, "{case}");
-    assert_eq!(proxy.figure("svc.backends_excluded"), Some(0), "{case}");
+    assert_eq!(proxy.metric("svc.clients.limit"), limit, "{case}");
+    assert_eq!(proxy.metric("svc.backends_excluded"), Some(0), "{case}");
     let term = Instant::now();
     proxy.signal("-TERM");
     std::thread::sleep(Duration::from_millis(300));
     clients.told.only_open.store(true, Ordering::SeqCst);
-    let code = proxy.end_by(term + LONGEST + KILL_AFTER);
+    let code = proxy.wait_for_exit_until(term + LONGEST + KILL_AFTER);
     let records = clients.finish();
     assert_eq!(code, Some(0), "{case}: it ends by itself before the kill");
     let faults = vec![Played { fault, side, from, to }];
--- a/crates/proxy/tests/fault_soak.rs
+++ b/crates/proxy/tests/fault_soak.rs
@@ -44,7 +44,7 @@
     servers::agent(proxy.discovery.try_clone().unwrap());
     let arrivals: Vec<_> = listeners.into_iter().map(servers::backend).collect();
     let port = proxy.address.rsplit(':').next().unwrap().parse().unwrap();
-    let limit = proxy.figure("svc.clients.limit");
+    let limit = proxy.metric("svc.clients.limit");
     // A crowd that says nothing, in some plays.
     let crowd = if seed.is_multiple_of(4) { 300 } else { 0 };
     let crowd: Vec<_> = (0..crowd).map(|_| TcpStream::connect(&proxy.address).unwrap()).collect();
@@ -66,10 +66,10 @@
     let calm = (calm + SETTLED, Instant::now());
     let cpu = (processor_time(&proxy) - used) / start.elapsed().as_secs_f64();
     assert!(cpu < CPU_MOST, "seed {seed}: {cpu:.2} of a processor, {faults:?}");
-    assert_eq!(proxy.figure("svc.clients.limit"), limit, "seed {seed}: {faults:?}");
+    assert_eq!(proxy.metric("svc.clients.limit"), limit, "seed {seed}: {faults:?}");
     let term = Instant::now();
     go_down(&proxy, &shim, &clients, &mut rng, (port, &ports), &mut faults, term);
-    let code = proxy.end_by(term + LONGEST + KILL_AFTER);
+    let code = proxy.wait_for_exit_until(term + LONGEST + KILL_AFTER);
     let records = clients.finish();
     assert_eq!(code, Some(0), "seed {seed}: it ends by itself before the kill, {faults:?}");
     drop(crowd);
--- a/crates/proxy/tests/helper/mod.rs
+++ b/crates/proxy/tests/helper/mod.rs
@@ -68,7 +68,7 @@
 }
 
 /// Sends a text on a connection of its own and reads all that comes until the connection ends.
-pub fn ask(address: &str, text: &str) -> String {
+pub fn fetch(address: &str, text: &str) -> String {
     let mut stream = patient(TcpStream::connect(address).unwrap());
     stream.write_all(text.as_bytes()).unwrap();
     let mut answer = Vec::new();
@@ -93,36 +93,36 @@
         settings: &str,
     ) -> Proxy {
         let text = config(backends, sockets, settings, r#""listen":"127.0.0.1:0""#);
-        Proxy::run(text, descriptors, &[])
+        Proxy::spawn(text, descriptors, &[])
     }
 
     /// One that operators may call, at the addresses and with the environment that are given.
     pub fn start_managed(backends: &[&TcpListener], listen: &str, environment: &[(&str, &str)]) -> Proxy {
         let addresses = format!(r#""listen":"{listen}","management":"127.0.0.1:0""#);
-        Proxy::run(config(backends, 1024, &settings(5000, ""), &addresses), 1024, environment)
+        Proxy::spawn(config(backends, 1024, &settings(5000, ""), &addresses), 1024, environment)
     }
 
     /// At addresses of one's own choice.
     pub fn start_at(backends: &[&TcpListener], addresses: &str) -> Proxy {
-        Proxy::run(config(backends, 1024, &settings(5000, ""), addresses), 1024, &[])
+        Proxy::spawn(config(backends, 1024, &settings(5000, ""), addresses), 1024, &[])
     }
 
     /// By a configuration in the project's own form, which names its backends itself.
     pub fn start_native(text: &str) -> Proxy {
-        Proxy::run_at(new_path().with_extension("toml"), (text.to_string(), backend()), 1024, &[])
+        Proxy::spawn_at(new_config_path().with_extension("toml"), (text.to_string(), backend()), 1024, &[])
     }
 
-    fn run(config: (String, TcpListener), descriptors: usize, more: &[(&str, &str)]) -> Proxy {
-        Proxy::run_at(new_path(), config, descriptors, more)
+    fn spawn(config: (String, TcpListener), descriptors: usize, more: &[(&str, &str)]) -> Proxy {
+        Proxy::spawn_at(new_config_path(), config, descriptors, more)
     }
 
-    fn run_at(
+    fn spawn_at(
         path: PathBuf,
         (config, discovery): (String, TcpListener),
         descriptors: usize,
         more: &[(&str, &str)],
     ) -> Proxy {
-        let (mut child, log) = run(&config, descriptors, &path, more);
+        let (mut child, log) = spawn_proxy(&config, descriptors, &path, more);
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| log.0.send(line)));
         let (mut address, mut management) = (String::new(), String::new());
@@ -136,21 +136,21 @@
     }
 
     /// Makes an operator's call; the status and the text of its answer.
-    pub fn call(&self, method: &str, path: &str) -> (u16, String) {
-        let answer = ask(&self.management, &format!("{method} {path} HTTP/1.1\r\nHost: m\r\n\r\n"));
+    pub fn admin_request(&self, method: &str, path: &str) -> (u16, String) {
+        let answer = fetch(&self.management, &format!("{method} {path} HTTP/1.1\r\nHost: m\r\n\r\n"));
         let (head, body) = answer.split_once("\r\n\r\n").unwrap_or_default();
         (head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0), body.to_string())
     }
 
     /// The figure of a name among those that operators read.
-    pub fn figure(&self, name: &str) -> Option<u64> {
-        let (_, text) = self.call("GET", "/metrics");
+    pub fn metric(&self, name: &str) -> Option<u64> {
+        let (_, text) = self.admin_request("GET", "/metrics");
         let found = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
         found?.split('|').next()?.parse().ok()
     }
 
     /// Of its process.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
@@ -159,19 +159,19 @@
     }
 
     /// Sends one request on a connection of its own and reads all that comes until the connection ends.
-    pub fn ask(&self, request: &str) -> String {
-        ask(&self.address, request)
+    pub fn fetch(&self, request: &str) -> String {
+        fetch(&self.address, request)
     }
 
     /// Has it read its configuration anew, which names another agent.
-    pub fn move_to(&self, agent: &TcpListener) {
+    pub fn switch_agent(&self, agent: &TcpListener) {
         let [old, new] = [&self.discovery, agent].map(|agent| agent.local_addr().unwrap().to_string());
         self.reconfigure(&self.config.replace(&old, &new));
     }
 
     /// Puts half of a configuration that names another agent in its place, as one that is still being written, and
     /// gives back the whole.
-    pub fn half_move_to(&self, agent: &TcpListener) -> String {
+    pub fn write_truncated_config(&self, agent: &TcpListener) -> String {
         let [old, new] = [&self.discovery, agent].map(|agent| agent.local_addr().unwrap().to_string());
         let whole = self.config.replace(&old, &new);
         std::fs::write(&self.path, &whole[..whole.len() / 2]).unwrap();
@@ -179,14 +179,14 @@
     }
 
     /// Writes the rest, without a signal.
-    pub fn finish_writing(&self, whole: &str) {
+    pub fn write_config(&self, whole: &str) {
         std::fs::write(&self.path, whole).unwrap();
     }
 
     pub fn reconfigure(&self, config: &str) {
         std::fs::write(&self.path, config).unwrap();
         self.signal("-HUP");
-        self.logged("configuration");
+        self.wait_for_log("configuration");
     }
 
     pub fn signal(&self, name: &str) {
@@ -194,23 +194,23 @@
     }
 
     /// Holds its loop still, so that what comes until it goes on is there in one turn.
-    pub fn hold(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
-        let stat = format!("/proc/{}/stat", self.id());
+        let stat = format!("/proc/{}/stat", self.pid());
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {}
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// Waits for its end and tells its exit code.
-    pub fn end(mut self) -> Option<i32> {
+    pub fn wait_for_exit(mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
     /// Waits for its end until a point in time, from which on it is killed; its exit code, if it ended by itself.
-    pub fn end_by(mut self, until: std::time::Instant) -> Option<i32> {
+    pub fn wait_for_exit_until(mut self, until: std::time::Instant) -> Option<i32> {
         while std::time::Instant::now() < until {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
@@ -221,7 +221,7 @@
     }
 
     /// Waits for a log line that holds a text.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self.log.recv_timeout(PATIENCE).expect("the log goes on");
             if line.contains(text) {
@@ -239,9 +239,9 @@
 }
 
 /// A process that ends with its test.
-pub struct Ended(pub Child);
+pub struct KillOnDrop(pub Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -251,14 +251,14 @@
 type Log = (std::sync::mpsc::Sender<String>, Receiver<String>);
 
 /// Where a configuration may be written.
-pub fn new_path() -> PathBuf {
+pub fn new_config_path() -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("sparlug-test-{}-{number}.json", std::process::id()))
 }
 
 /// Starts the program with a configuration at a path; its standard error is to be read.
-pub fn run(config: &str, descriptors: usize, path: &Path, more: &[(&str, &str)]) -> (Child, Log) {
+pub fn spawn_proxy(config: &str, descriptors: usize, path: &Path, more: &[(&str, &str)]) -> (Child, Log) {
     std::fs::write(path, config).unwrap();
     let mut command = Command::new("sh");
     command.args(["-c", &format!("ulimit -n {descriptors}; exec $0"), env!("CARGO_BIN_EXE_sparlug-proxy")]);
@@ -276,7 +276,7 @@
 
 /// Fills the backlog of a listener that accepts nothing, so that no further connection comes up before some of these
 /// are accepted.
-pub fn fill(backend: &TcpListener) -> Vec<TcpStream> {
+pub fn fill_backlog(backend: &TcpListener) -> Vec<TcpStream> {
     let to = backend.local_addr().unwrap();
     let dial = |_| TcpStream::connect_timeout(&to, Duration::from_millis(100)).ok();
     let full: Vec<_> = (0..5000).map_while(dial).collect();
@@ -285,22 +285,22 @@
 }
 
 /// A listener that lets no connection come up.
-pub fn unreachable() -> (TcpListener, Vec<TcpStream>) {
+pub fn unreachable_backend() -> (TcpListener, Vec<TcpStream>) {
     let backend = backend();
-    let full = fill(&backend);
+    let full = fill_backlog(&backend);
     (backend, full)
 }
 
 /// Counters as they stand now.
-pub fn counted(proxy: &Proxy, name: &str) -> u64 {
+pub fn counter(proxy: &Proxy, name: &str) -> u64 {
     proxy.signal("-USR1");
-    let line = proxy.logged("counters=");
+    let line = proxy.wait_for_log("counters=");
     let found = line.split([' ', '"']).find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
     found.and_then(|count| count.parse().ok()).unwrap_or_else(|| panic!("{name} in {line}"))
 }
 
 /// One that refuses all connections. It keeps its port: guards against another test's listener getting it.
-pub fn refusing() -> TcpListener {
+pub fn refusing_backend() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
     socket.into()
@@ -323,7 +323,7 @@
 }
 
 /// Reads one message with a `Content-Length` or none, and nothing of what follows.
-pub fn message(stream: &mut TcpStream) -> String {
+pub fn read_message(stream: &mut TcpStream) -> String {
     let (mut text, mut byte) = (String::new(), [0]);
     while !text.ends_with("\r\n\r\n") {
         match stream.read(&mut byte) {
@@ -353,23 +353,23 @@
 }
 
 /// The same with much time, on a connection that stays.
-pub fn kept(method: &str, path: &str) -> String {
+pub fn keep_alive_request(method: &str, path: &str) -> String {
     request(method, path, "60").replace("Connection: close\r\n", "")
 }
 
 /// The id that a request bears.
-pub fn id(text: &str) -> &str {
+pub fn request_id(text: &str) -> &str {
     text.lines().find_map(|line| line.strip_prefix("Request-Id: ")).unwrap_or_default()
 }
 
 /// Asks for something without waiting for the answer.
-pub fn asks(proxy: &Proxy, text: &str) -> TcpStream {
+pub fn send_request(proxy: &Proxy, text: &str) -> TcpStream {
     let mut client = proxy.connect();
     write(&mut client, text);
     client
 }
 
-pub fn answer(status: &str, more: &str, body: &str) -> String {
+pub fn response(status: &str, more: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
@@ -379,7 +379,7 @@
     pub id: String,
     pub at: std::time::Instant,
     /// The time that it says is left, in seconds.
-    pub time_out: f64,
+    pub timeout: f64,
 }
 
 /// What backends have read so far.
@@ -391,14 +391,14 @@
         self.0.lock().unwrap().clone()
     }
 
-    pub fn of(&self, id: &str) -> Vec<Arrival> {
+    pub fn with_id(&self, id: &str) -> Vec<Arrival> {
         self.all().into_iter().filter(|arrival| arrival.id == id).collect()
     }
 
-    pub fn add(&self, text: &str) {
+    pub fn record(&self, text: &str) {
         let line = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
-        let time_out = line("Request-Timeout: ").and_then(|time| time.parse().ok()).unwrap_or(f64::INFINITY);
-        let arrival = Arrival { id: id(text).to_string(), at: std::time::Instant::now(), time_out };
+        let timeout = line("Request-Timeout: ").and_then(|time| time.parse().ok()).unwrap_or(f64::INFINITY);
+        let arrival = Arrival { id: request_id(text).to_string(), at: std::time::Instant::now(), timeout };
         self.0.lock().unwrap().push(arrival);
     }
 }
@@ -411,12 +411,12 @@
         while let Ok((mut conn, _)) = backend.accept() {
             let all = all.clone();
             std::thread::spawn(move || loop {
-                let text = message(&mut conn);
+                let text = read_message(&mut conn);
                 if text.is_empty() {
                     return;
                 }
-                all.add(&text);
-                let answer = answer("200 OK", "", "fine");
+                all.record(&text);
+                let answer = response("200 OK", "", "fine");
                 if conn.write_all(answer.as_bytes()).is_err() {
                     return;
                 }
--- a/crates/proxy/tests/helper/shim.rs
+++ b/crates/proxy/tests/helper/shim.rs
@@ -7,12 +7,12 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-use super::{config, new_path, Proxy};
+use super::{config, new_config_path, Proxy};
 use std::net::TcpListener;
 
 /// The kinds of calls that can be made to fail, in the order of `enum call` in the library.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum SystemCall {
     Accept,
     Socket,
     Connect,
@@ -70,7 +70,7 @@
 /// How a kind of call fails.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    pub call: Call,
+    pub call: SystemCall,
     /// 0: the call moves at most `bytes` bytes.
     pub error: u32,
     pub bytes: u32,
@@ -83,20 +83,20 @@
 }
 
 impl Fault {
-    pub fn of(call: Call, error: u32, times: u32) -> Fault {
+    pub fn with_error(call: SystemCall, error: u32, times: u32) -> Fault {
         Fault { call, error, bytes: 0, every: 1, times, port: 0 }
     }
 
     /// Reads or writes move at most so many bytes at a time.
-    pub fn short(call: Call, bytes: u32, times: u32) -> Fault {
-        Fault { bytes, ..Fault::of(call, 0, times) }
+    pub fn short_transfer(call: SystemCall, bytes: u32, times: u32) -> Fault {
+        Fault { bytes, ..Fault::with_error(call, 0, times) }
     }
 
-    pub fn at(self, port: u16) -> Fault {
+    pub fn on_port(self, port: u16) -> Fault {
         Fault { port, ..self }
     }
 
-    pub fn every(self, every: u32) -> Fault {
+    pub fn one_in(self, every: u32) -> Fault {
         Fault { every, ..self }
     }
 }
@@ -131,10 +131,10 @@
     /// The same where calls fail from the first moment on.
     pub fn start_failing(backends: &[&TcpListener], settings: &str, faults: &[Fault]) -> (Proxy, Shim) {
         let (shim, environment) = Shim::prepare();
-        faults.iter().for_each(|fault| shim.fail(*fault));
+        faults.iter().for_each(|fault| shim.inject(*fault));
         let environment = environment.each_ref().map(|(name, value)| (*name, value.as_str()));
         let addresses = r#""listen":"127.0.0.1:0","management":"127.0.0.1:0""#;
-        let proxy = Proxy::run(config(backends, 1024, settings, addresses), 1024, &environment);
+        let proxy = Proxy::spawn(config(backends, 1024, settings, addresses), 1024, &environment);
         (proxy, shim)
     }
 
@@ -151,7 +151,7 @@
         faults: &[Fault],
     ) -> (Proxy, Shim) {
         let (shim, environment) = Shim::prepare();
-        faults.iter().for_each(|fault| shim.fail(*fault));
+        faults.iter().for_each(|fault| shim.inject(*fault));
         let environment = environment.each_ref().map(|(name, value)| (*name, value.as_str()));
         let environment: Vec<_> = environment.into_iter().chain(more.iter().copied()).collect();
         (Proxy::start_managed(backends, listen, &environment), shim)
@@ -161,13 +161,13 @@
     pub fn start_native(text: &str) -> (Proxy, Shim) {
         let (shim, environment) = Shim::prepare();
         let environment = environment.each_ref().map(|(name, value)| (*name, value.as_str()));
-        let path = new_path().with_extension("toml");
-        (Proxy::run_at(path, (text.to_string(), super::backend()), 1024, &environment), shim)
+        let path = new_config_path().with_extension("toml");
+        (Proxy::spawn_at(path, (text.to_string(), super::backend()), 1024, &environment), shim)
     }
 
     /// What a process is started with to have the library loaded.
     fn prepare() -> (Shim, [(&'static str, String); 3]) {
-        let path = new_path().with_extension("faults");
+        let path = new_config_path().with_extension("faults");
         let control = OpenOptions::new().read(true).write(true).create_new(true).open(&path).unwrap();
         control.set_len((CALLS * RULE_BYTES + 8) as u64).unwrap();
         let environment = [
@@ -179,7 +179,7 @@
     }
 
     /// From now on calls fail so.
-    pub fn fail(&self, fault: Fault) {
+    pub fn inject(&self, fault: Fault) {
         let Fault { call, error, bytes, every, times, port } = fault;
         let words = [error, bytes, every, times, port.into()];
         let rule: Vec<u8> = words.iter().flat_map(|word| word.to_ne_bytes()).collect();
@@ -187,12 +187,12 @@
     }
 
     /// Calls of this kind succeed again.
-    pub fn clear(&self, call: Call) {
-        self.fail(Fault::of(call, 0, 0));
+    pub fn clear(&self, call: SystemCall) {
+        self.inject(Fault::with_error(call, 0, 0));
     }
 
     /// How many calls of this kind have failed so far.
-    pub fn hits(&self, call: Call) -> u32 {
+    pub fn hits(&self, call: SystemCall) -> u32 {
         let mut word = [0; 4];
         let place = call as usize * RULE_BYTES + HITS_OFFSET;
         self.control.read_exact_at(&mut word, place as u64).unwrap();
@@ -200,7 +200,7 @@
     }
 
     /// Waits until so many calls of this kind have failed.
-    pub fn wait_for_hits(&self, call: Call, hits: u32) {
+    pub fn wait_for_hits(&self, call: SystemCall, hits: u32) {
         let start = std::time::Instant::now();
         while self.hits(call) < hits {
             assert!(start.elapsed() < super::PATIENCE, "{call:?} failed {} times", self.hits(call));
--- a/crates/proxy/tests/large.rs
+++ b/crates/proxy/tests/large.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use helper::{accept, answer, message, request, settings, write, Proxy};
+use helper::{accept, read_message, request, response, settings, write, Proxy};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 
@@ -58,7 +58,7 @@
     fn list(&self, seq: usize, whole: bool, which: impl Iterator<Item = usize>, health: &str) -> String {
         let hosts: Vec<_> = which.map(|n| self.host(n, health)).collect();
         let hosts = hosts.join(",");
-        answer(
+        response(
             "200 OK",
             "",
             &format!("{{\n  \"seq\": {seq},\n  \"whole\": {whole},\n  \"hosts\": [{hosts}\n  ]\n}}"),
@@ -73,7 +73,7 @@
 
 fn serve(mut poll: Poll, listeners: &[TcpListener], seen: &Mutex<Vec<u32>>, open: &Mutex<(usize, usize)>) {
     let (mut conns, mut next) = (BTreeMap::<usize, (TcpStream, usize, Vec<u8>)>::new(), listeners.len());
-    let (mut events, reply) = (Events::with_capacity(1024), answer("200 OK", "", "fine"));
+    let (mut events, reply) = (Events::with_capacity(1024), response("200 OK", "", "fine"));
     loop {
         poll.poll(&mut events, None).unwrap();
         for event in &events {
@@ -122,7 +122,7 @@
             stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
             let asked = |_: &usize| {
                 write(&mut stream, &request("GET", "/read", "4").replace("Connection: close\r\n", ""));
-                !message(&mut stream).ends_with("fine")
+                !read_message(&mut stream).ends_with("fine")
             };
             (0..count.div_ceil(CALLERS)).filter(asked).count()
         })
@@ -133,7 +133,7 @@
 
 /// What the process holds in memory, in KB.
 fn resident(proxy: &Proxy) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.id())).unwrap();
+    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.pid())).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
@@ -144,12 +144,12 @@
     let told = Instant::now();
     loop {
         let written = call.write_all(list.as_bytes());
-        let next = written.map(|()| message(call)).unwrap_or_default();
+        let next = written.map(|()| read_message(call)).unwrap_or_default();
         if next.contains(&format!("index={seq}&")) {
             return told.elapsed();
         }
         *call = accept(&proxy.discovery);
-        message(call);
+        read_message(call);
     }
 }
 
@@ -161,7 +161,7 @@
     let proxy = Proxy::start_with(&[], 1024, &settings(5000, ""));
     let before = resident(&proxy);
     let mut call = accept(&proxy.discovery);
-    message(&mut call);
+    read_message(&mut call);
     let mut seq = 100;
     for count in [100, 500, MANY] {
         seq += 1;
@@ -199,7 +199,7 @@
     let settings = settings(5000, "").replace(r#""balancers":1"#, r#""balancers":2000,"ordinal":1999"#);
     let proxy = Proxy::start_with(&[], 1024, &settings);
     let mut call = accept(&proxy.discovery);
-    message(&mut call);
+    read_message(&mut call);
     tell(&proxy, &mut call, &crowd.list(101, true, 0..40, "Ready"), 101);
     assert_eq!(ask_many(&proxy.address, 200), 0);
     assert!((2..=6).contains(&crowd.reached().len()), "{:?}", crowd.reached());
--- a/crates/proxy/tests/leaving.rs
+++ b/crates/proxy/tests/leaving.rs
@@ -6,25 +6,27 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use helper::{accept, answer, backend, close, counted, kept, message, settings, write, Proxy};
+use helper::{
+    accept, backend, close, counter, keep_alive_request, read_message, response, settings, write, Proxy,
+};
 
 /// A connection on which a request was answered, and that rests.
 fn resting(proxy: &Proxy, backend: &std::net::TcpListener) -> TcpStream {
     let mut client = proxy.connect();
-    write(&mut client, &kept("POST", "/write"));
+    write(&mut client, &keep_alive_request("POST", "/write"));
     let mut conn = accept(backend);
-    message(&mut conn);
-    write(&mut conn, &answer("200 OK", "Connection: close\r\n", "fine"));
-    assert!(message(&mut client).ends_with("fine"));
+    read_message(&mut conn);
+    write(&mut conn, &response("200 OK", "Connection: close\r\n", "fine"));
+    assert!(read_message(&mut client).ends_with("fine"));
     client
 }
 
 /// A client that waits for its answer while the proxy goes down, and its attempt: until it has it, the proxy stays.
 fn owed(proxy: &Proxy, backend: &std::net::TcpListener) -> (TcpStream, TcpStream) {
     let mut client = proxy.connect();
-    write(&mut client, &kept("POST", "/write"));
+    write(&mut client, &keep_alive_request("POST", "/write"));
     let mut conn = accept(backend);
-    message(&mut conn);
+    read_message(&mut conn);
     (client, conn)
 }
 
@@ -38,16 +40,16 @@
     let (mut waits, mut conn) = owed(&proxy, &backend);
     proxy.signal("-TERM");
     assert_eq!(rests.read(&mut [0]).unwrap(), 0, "the proxy ends a connection that rests");
-    write(&mut rests, &kept("POST", "/write"));
+    write(&mut rests, &keep_alive_request("POST", "/write"));
     // On loopback a reset is there as soon as the bytes are.
     assert!(rests.take_error().unwrap().is_none(), "the connection was reset");
     assert_eq!(rests.read(&mut [0]).unwrap(), 0);
-    assert_eq!(counted(&proxy, "taken"), 2, "and the request is not taken");
-    write(&mut conn, &answer("200 OK", "", "fine"));
-    assert!(message(&mut waits).ends_with("fine"));
+    assert_eq!(counter(&proxy, "taken"), 2, "and the request is not taken");
+    write(&mut conn, &response("200 OK", "", "fine"));
+    assert!(read_message(&mut waits).ends_with("fine"));
     close(waits);
     close(rests);
-    assert_eq!(proxy.end(), Some(0));
+    assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
 /// The same where the proxy ends a connection that nothing came on for 15 s.
@@ -58,10 +60,10 @@
     let mut rests = resting(&proxy, &backend);
     rests.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
     assert_eq!(rests.read(&mut [0]).unwrap(), 0, "the proxy ends a connection that rests");
-    write(&mut rests, &kept("POST", "/write"));
+    write(&mut rests, &keep_alive_request("POST", "/write"));
     assert!(rests.take_error().unwrap().is_none(), "the connection was reset");
     assert_eq!(rests.read(&mut [0]).unwrap(), 0);
-    assert_eq!(counted(&proxy, "taken"), 1, "and the request is not taken");
+    assert_eq!(counter(&proxy, "taken"), 1, "and the request is not taken");
 }
 
 /// The proxy ends only when the last client has read its answer and closed, or has had time to.
@@ -74,17 +76,17 @@
     proxy.signal("-TERM");
     assert_eq!(rests.read(&mut [0]).unwrap(), 0, "from here on it ends as soon as nothing is owed");
     close(rests);
-    write(&mut conn, &answer("200 OK", "", "fine"));
-    let text = message(&mut waits);
+    write(&mut conn, &response("200 OK", "", "fine"));
+    let text = read_message(&mut waits);
     assert!(text.contains("Connection: close") && text.ends_with("fine"), "{text}");
     assert_eq!(waits.read(&mut [0]).unwrap(), 0);
     // It is given a second to close. What comes on its way at this moment finds somebody.
     std::thread::sleep(Duration::from_millis(100));
-    write(&mut waits, &kept("POST", "/write"));
+    write(&mut waits, &keep_alive_request("POST", "/write"));
     assert!(waits.take_error().unwrap().is_none(), "the connection was reset");
     close(waits);
-    assert!(proxy.logged("gone").contains("taken=2"));
-    assert_eq!(proxy.end(), Some(0));
+    assert!(proxy.wait_for_log("gone").contains("taken=2"));
+    assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
 /// A request on a resting connection that is there before the proxy looks is served, however it came.
@@ -93,26 +95,26 @@
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(20_000, ""));
     let mut rests = resting(&proxy, &backend);
-    proxy.hold();
+    proxy.pause();
     proxy.signal("-TERM");
     let mut new = proxy.connect();
-    write(&mut new, &kept("POST", "/write"));
-    write(&mut rests, &kept("POST", "/write"));
-    proxy.go_on();
+    write(&mut new, &keep_alive_request("POST", "/write"));
+    write(&mut rests, &keep_alive_request("POST", "/write"));
+    proxy.resume();
     let mut conns = [accept(&backend), accept(&backend)];
     for conn in &mut conns {
-        message(conn);
-        write(conn, &answer("200 OK", "", "fine"));
+        read_message(conn);
+        write(conn, &response("200 OK", "", "fine"));
     }
     for client in [&mut new, &mut rests] {
-        let text = message(client);
+        let text = read_message(client);
         assert!(text.contains("Connection: close") && text.ends_with("fine"), "{text}");
     }
     close(new);
     close(rests);
-    let counters = proxy.logged("gone");
+    let counters = proxy.wait_for_log("gone");
     assert!(counters.contains("taken=3") && counters.contains("honoured=3"), "{counters}");
-    assert_eq!(proxy.end(), Some(0));
+    assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
 /// Of a row of piped requests the first is answered and says that the connection ends; the rest is not taken, so that
@@ -122,18 +124,18 @@
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(20_000, ""));
     let mut client = proxy.connect();
-    write(&mut client, &kept("POST", "/write").repeat(3));
+    write(&mut client, &keep_alive_request("POST", "/write").repeat(3));
     let mut conn = accept(&backend);
-    message(&mut conn);
+    read_message(&mut conn);
     proxy.signal("-TERM");
-    proxy.logged("signal");
-    write(&mut conn, &answer("200 OK", "", "fine"));
-    let text = message(&mut client);
+    proxy.wait_for_log("signal");
+    write(&mut conn, &response("200 OK", "", "fine"));
+    let text = read_message(&mut client);
     assert!(text.contains("Connection: close") && text.ends_with("fine"), "{text}");
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     close(client);
-    assert!(proxy.logged("gone").contains("taken=1"));
-    assert_eq!(proxy.end(), Some(0));
+    assert!(proxy.wait_for_log("gone").contains("taken=1"));
+    assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
 /// A client that never closes holds nothing up for long.
@@ -146,7 +148,7 @@
     proxy.signal("-TERM");
     assert_eq!(stays.read(&mut [0]).unwrap(), 0);
     let _ = stays.write(b"POST /wri");
-    assert_eq!(proxy.end(), Some(0));
+    assert_eq!(proxy.wait_for_exit(), Some(0));
     // SIGKILL may come as soon as the longest deadline (2 s here) and 0.7 s after SIGTERM.
     assert!(start.elapsed() < Duration::from_millis(2000 + 700), "{:?}", start.elapsed());
 }
@@ -158,19 +160,19 @@
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(20_000, ""));
     let mut out: Vec<_> = (0..4).map(|_| owed(&proxy, &backend)).collect();
     let mut queued = proxy.connect();
-    write(&mut queued, &kept("POST", "/write"));
-    while counted(&proxy, "taken") < 5 {}
-    assert_eq!(counted(&proxy, "forwards"), 4, "it waits");
+    write(&mut queued, &keep_alive_request("POST", "/write"));
+    while counter(&proxy, "taken") < 5 {}
+    assert_eq!(counter(&proxy, "forwards"), 4, "it waits");
     proxy.signal("-TERM");
-    proxy.logged("signal");
-    write(&mut out[0].1, &answer("200 OK", "Connection: close\r\n", "fine"));
+    proxy.wait_for_log("signal");
+    write(&mut out[0].1, &response("200 OK", "Connection: close\r\n", "fine"));
     let mut conn = accept(&backend);
-    message(&mut conn);
+    read_message(&mut conn);
     for conn in out.iter_mut().skip(1).map(|(_, conn)| conn).chain([&mut conn]) {
-        write(conn, &answer("200 OK", "", "fine"));
+        write(conn, &response("200 OK", "", "fine"));
     }
     for client in out.iter_mut().map(|(client, _)| client).chain([&mut queued]) {
-        let text = message(client);
+        let text = read_message(client);
         assert!(text.contains("Connection: close") && text.ends_with("fine"), "{text}");
     }
 }
--- a/crates/proxy/tests/moving.rs
+++ b/crates/proxy/tests/moving.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use helper::{answer, ask, message, Proxy};
+use helper::{fetch, read_message, response, Proxy};
 
 const BACKENDS: usize = 6;
 const WORK: Duration = Duration::from_millis(4);
@@ -33,7 +33,7 @@
 impl StandIn {
     fn serve(&self, mut conn: TcpStream) {
         loop {
-            let request = message(&mut conn);
+            let request = read_message(&mut conn);
             let Some(id) = field(&request, "Request-Id:") else { return };
             let came = Instant::now();
             *self.held.lock().unwrap() += 1;
@@ -50,7 +50,7 @@
                 return;
             }
             let load = format!("Server-Load: TEXT inflight={held}\r\n");
-            if conn.write_all(answer("200 OK", &load, "ok").as_bytes()).is_err() {
+            if conn.write_all(response("200 OK", &load, "ok").as_bytes()).is_err() {
                 return;
             }
         }
@@ -109,7 +109,7 @@
             "{method} /{path} HTTP/1.1\r\nHost: h\r\nRequest-Id: {id}\r\nRequest-Key: k{key}\r\n\
              Request-Timeout: 2.0\r\nConnection: close\r\n\r\n"
         );
-        let all = ask(address, &text);
+        let all = fetch(address, &text);
         assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "one answer for {id}: {all:?}");
         asked.push((id, write, all[9..12].parse().unwrap()));
     }
@@ -223,7 +223,7 @@
     // The count of messages heard stands in the last line of the log.
     for proxy in proxies {
         proxy.signal("-TERM");
-        let line = proxy.logged("heard=");
+        let line = proxy.wait_for_log("heard=");
         let heard = line.split("heard=").nth(1).and_then(|rest| rest.split(' ').next());
         assert!(heard.and_then(|heard| heard.parse::<u32>().ok()) > Some(0), "{line}");
     }
--- a/crates/proxy/tests/operating.rs
+++ b/crates/proxy/tests/operating.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::thread;
 
-use helper::shim::{errno, Call, Fault, Shim};
-use helper::{accept, answer, ask, backend, message, request, write, Proxy};
+use helper::shim::{errno, Fault, Shim, SystemCall};
+use helper::{accept, backend, fetch, read_message, request, response, write, Proxy};
 use sparlug_proxy::control_messages::{take_message, HandoverMessage};
 
 /// A backend that answers all it is asked with its name, until the test ends.
@@ -27,15 +27,15 @@
 }
 
 fn serve(mut stream: TcpStream, name: &str) {
-    while !message(&mut stream).is_empty() {
-        let _ = stream.write_all(answer("200 OK", "", name).as_bytes());
+    while !read_message(&mut stream).is_empty() {
+        let _ = stream.write_all(response("200 OK", "", name).as_bytes());
     }
 }
 
 #[test]
 fn operators_calls_get_their_answers() {
     let proxy = Proxy::start_managed(&[&serving("a")], "127.0.0.1:0", &[]);
-    assert_eq!(proxy.call("GET", "/ready").0, 200);
+    assert_eq!(proxy.admin_request("GET", "/ready").0, 200);
     let cases = [
         ("GET /nowhere HTTP/1.1\r\n\r\n", "404"),
         ("PUT /backends/disable/none HTTP/1.1\r\n\r\n", "404"),
@@ -51,7 +51,7 @@
         ("PUT /backends/enable/h0 HTTP/1.1\r\n\r\n", "200"),
     ];
     for (call, status) in cases {
-        let seen = ask(&proxy.management, call);
+        let seen = fetch(&proxy.management, call);
         assert!(seen.starts_with(&format!("HTTP/1.1 {status} ")), "{call:?}: {seen:?}");
     }
 }
@@ -65,7 +65,7 @@
         stream
     };
     let _silent: Vec<_> = (0..40).map(half).collect();
-    assert_eq!(proxy.call("GET", "/ready").0, 200);
+    assert_eq!(proxy.admin_request("GET", "/ready").0, 200);
 }
 
 #[test]
@@ -75,19 +75,19 @@
     let mut client = proxy.connect();
     client.write_all(request("GET", "/read", "5").as_bytes()).unwrap();
     let mut conn = accept(&slow);
-    message(&mut conn);
+    read_message(&mut conn);
     let all = ["served", "refused", "failed"].map(|end| format!("svc.requests.read.{end}"));
-    let counts = || all.each_ref().map(|name| proxy.figure(name));
-    assert_eq!((counts(), proxy.figure("svc.in_flight")), ([Some(0); 3], Some(1)));
-    conn.write_all(answer("200 OK", "", "x").as_bytes()).unwrap();
-    message(&mut client);
-    assert_eq!((counts(), proxy.figure("svc.in_flight")), ([Some(1), Some(0), Some(0)], Some(0)));
-    assert_eq!(proxy.figure("svc.attempts"), Some(1));
+    let counts = || all.each_ref().map(|name| proxy.metric(name));
+    assert_eq!((counts(), proxy.metric("svc.in_flight")), ([Some(0); 3], Some(1)));
+    conn.write_all(response("200 OK", "", "x").as_bytes()).unwrap();
+    read_message(&mut client);
+    assert_eq!((counts(), proxy.metric("svc.in_flight")), ([Some(1), Some(0), Some(0)], Some(0)));
+    assert_eq!(proxy.metric("svc.attempts"), Some(1));
     // A class that is asked for in the wrong way fails; a path that is no class is nobody's request.
-    proxy.ask(&request("POST", "/read", "5"));
-    proxy.ask(&request("GET", "/unknown", "5"));
+    proxy.fetch(&request("POST", "/read", "5"));
+    proxy.fetch(&request("GET", "/unknown", "5"));
     assert_eq!(counts(), [Some(1), Some(0), Some(1)]);
-    assert_eq!(proxy.figure("svc.backends_known"), Some(1));
+    assert_eq!(proxy.metric("svc.backends_known"), Some(1));
 }
 
 #[test]
@@ -95,7 +95,7 @@
     let listener = backend();
     let proxy = Proxy::start_managed(&[&listener], "127.0.0.1:0", &[]);
     let ends = ["served", "refused", "failed"];
-    let counts = |class: &str| ends.map(|end| proxy.figure(&format!("svc.requests.{class}.{end}")).unwrap());
+    let counts = |class: &str| ends.map(|end| proxy.metric(&format!("svc.requests.{class}.{end}")).unwrap());
     // What the backend sends back, or nothing; and which figure that moves.
     let cases = [
         ("POST", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 0),
@@ -109,49 +109,49 @@
         let mut client = proxy.connect();
         write(&mut client, &request(method, "/write", "5"));
         let mut conn = accept(&listener);
-        message(&mut conn);
-        assert_eq!((counts("write"), proxy.figure("svc.in_flight")), (expected, Some(1)), "{reply:?}");
+        read_message(&mut conn);
+        assert_eq!((counts("write"), proxy.metric("svc.in_flight")), (expected, Some(1)), "{reply:?}");
         write(&mut conn, reply);
         conn.shutdown(Shutdown::Both).unwrap();
-        assert!(message(&mut client).starts_with("HTTP/1.1 "), "{reply:?}");
+        assert!(read_message(&mut client).starts_with("HTTP/1.1 "), "{reply:?}");
         expected[figure] += 1;
-        assert_eq!((counts("write"), proxy.figure("svc.in_flight")), (expected, Some(0)), "{reply:?}");
+        assert_eq!((counts("write"), proxy.metric("svc.in_flight")), (expected, Some(0)), "{reply:?}");
     }
     // A client that leaves.
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/write", "5"));
     let mut conn = accept(&listener);
-    message(&mut conn);
+    read_message(&mut conn);
     drop(client);
-    assert_eq!(message(&mut conn), "");
+    assert_eq!(read_message(&mut conn), "");
     expected[2] += 1;
-    assert_eq!((counts("write"), proxy.figure("svc.in_flight")), (expected, Some(0)));
+    assert_eq!((counts("write"), proxy.metric("svc.in_flight")), (expected, Some(0)));
     // Refused by the proxy, with nothing sent.
-    assert_eq!(proxy.call("PUT", "/backends/disable/h0").0, 200);
-    assert!(proxy.ask(&request("POST", "/write", "5")).starts_with("HTTP/1.1 503 "));
+    assert_eq!(proxy.admin_request("PUT", "/backends/disable/h0").0, 200);
+    assert!(proxy.fetch(&request("POST", "/write", "5")).starts_with("HTTP/1.1 503 "));
     expected[1] += 1;
-    assert_eq!((counts("write"), proxy.figure("svc.in_flight")), (expected, Some(0)));
-    assert_eq!((counts("read"), proxy.figure("svc.attempts")), ([0; 3], Some(6)));
+    assert_eq!((counts("write"), proxy.metric("svc.in_flight")), (expected, Some(0)));
+    assert_eq!((counts("read"), proxy.metric("svc.attempts")), ([0; 3], Some(6)));
 }
 
 #[test]
 fn a_ban_by_hand_holds_until_it_is_called_back() {
     let proxy = Proxy::start_managed(&[&serving("a"), &serving("b")], "127.0.0.1:0", &[]);
-    assert_eq!(proxy.call("PUT", "/backends/disable/h0").0, 200);
-    assert_eq!(proxy.call("PUT", "/backends/disable/h0").0, 200);
-    assert_eq!(proxy.figure("svc.backends_excluded"), Some(1));
+    assert_eq!(proxy.admin_request("PUT", "/backends/disable/h0").0, 200);
+    assert_eq!(proxy.admin_request("PUT", "/backends/disable/h0").0, 200);
+    assert_eq!(proxy.metric("svc.backends_excluded"), Some(1));
     for _ in 0..20 {
-        let seen = proxy.ask(&request("GET", "/read", "5"));
+        let seen = proxy.fetch(&request("GET", "/read", "5"));
         assert!(seen.ends_with("\r\n\r\nb"), "{seen}");
     }
     // With all of them out, there is an answer at once.
-    assert_eq!(proxy.call("PUT", "/backends/disable/h1").0, 200);
-    assert!(proxy.ask(&request("GET", "/read", "5")).starts_with("HTTP/1.1 503 "));
-    assert_eq!(proxy.figure("svc.requests.read.refused"), Some(1));
-    assert_eq!(proxy.call("PUT", "/backends/enable/h0").0, 200);
-    let seen = proxy.ask(&request("GET", "/read", "5"));
+    assert_eq!(proxy.admin_request("PUT", "/backends/disable/h1").0, 200);
+    assert!(proxy.fetch(&request("GET", "/read", "5")).starts_with("HTTP/1.1 503 "));
+    assert_eq!(proxy.metric("svc.requests.read.refused"), Some(1));
+    assert_eq!(proxy.admin_request("PUT", "/backends/enable/h0").0, 200);
+    let seen = proxy.fetch(&request("GET", "/read", "5"));
     assert!(seen.ends_with("\r\n\r\na"), "{seen}");
-    assert_eq!(proxy.figure("svc.backends_excluded"), Some(1));
+    assert_eq!(proxy.metric("svc.backends_excluded"), Some(1));
 }
 
 /// A place for what processes of one proxy hand over, and an address that is free.
@@ -172,67 +172,67 @@
     let backends = backends.each_ref();
     let environment = [("TMPDIR", folder.to_str().unwrap())];
     let old = Proxy::start_managed(&backends, &listen, &environment);
-    assert_eq!(old.call("PUT", "/backends/disable/h0").0, 200);
+    assert_eq!(old.admin_request("PUT", "/backends/disable/h0").0, 200);
     let (done, address) = (Arc::new(AtomicBool::new(false)), listen.clone());
     let stop = done.clone();
     // New connections, and one that is kept until its answer says that it ends.
     let asking = thread::spawn(move || {
         let mut answers = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            answers.push(ask(&address, &request("GET", "/read", "5")));
+            answers.push(fetch(&address, &request("GET", "/read", "5")));
         }
         answers
     });
     let mut kept = old.connect();
     let open = request("GET", "/read", "5").replace("Connection: close\r\n", "");
     write(&mut kept, &open);
-    assert!(message(&mut kept).ends_with("\r\n\r\nb"));
+    assert!(read_message(&mut kept).ends_with("\r\n\r\nb"));
 
     let new = Proxy::start_managed(&backends, &listen, &environment);
-    assert_eq!(new.call("GET", "/ready").0, 200);
+    assert_eq!(new.admin_request("GET", "/ready").0, 200);
     // What was barred before stays so, and what one of the two is told binds the other.
-    assert_eq!(new.figure("svc.backends_excluded"), Some(1));
-    assert_eq!(new.call("PUT", "/backends/enable/h0").0, 200);
-    assert_eq!(new.call("PUT", "/backends/disable/h1").0, 200);
-    old.logged("barred=true");
-    old.logged("barred=false");
-    old.logged("barred=true");
-    assert_eq!(old.figure("svc.backends_excluded"), Some(1));
+    assert_eq!(new.metric("svc.backends_excluded"), Some(1));
+    assert_eq!(new.admin_request("PUT", "/backends/enable/h0").0, 200);
+    assert_eq!(new.admin_request("PUT", "/backends/disable/h1").0, 200);
+    old.wait_for_log("barred=true");
+    old.wait_for_log("barred=false");
+    old.wait_for_log("barred=true");
+    assert_eq!(old.metric("svc.backends_excluded"), Some(1));
     old.signal("-TERM");
-    old.logged("signal");
+    old.wait_for_log("signal");
     write(&mut kept, &open.replace("9b1f", "77"));
-    let last = message(&mut kept);
+    let last = read_message(&mut kept);
     assert!(last.starts_with("HTTP/1.1 200 ") && last.ends_with("\r\n\r\na"), "{last}");
-    assert_eq!(old.end(), Some(0));
-    assert!(new.ask(&request("GET", "/read", "5")).ends_with("\r\n\r\na"));
+    assert_eq!(old.wait_for_exit(), Some(0));
+    assert!(new.fetch(&request("GET", "/read", "5")).ends_with("\r\n\r\na"));
     done.store(true, Ordering::Relaxed);
     for answer in asking.join().unwrap() {
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer:?}");
     }
     // The third finds the second.
     let third = Proxy::start_managed(&backends, &listen, &environment);
-    assert_eq!(third.figure("svc.backends_excluded"), Some(1));
+    assert_eq!(third.metric("svc.backends_excluded"), Some(1));
 }
 
 /// Guards against bans that are lost with one call that failed as one process handed over to the next.
 #[test]
 fn an_upgrade_keeps_its_bans_though_calls_of_the_handover_fail() {
     let failures = [
-        (Call::MessageWrite, errno::EINTR),
-        (Call::MessageWrite, errno::ENOBUFS),
-        (Call::MessageRead, errno::EINTR),
-        (Call::MessageRead, errno::ENOMEM),
+        (SystemCall::MessageWrite, errno::EINTR),
+        (SystemCall::MessageWrite, errno::ENOBUFS),
+        (SystemCall::MessageRead, errno::EINTR),
+        (SystemCall::MessageRead, errno::ENOMEM),
     ];
     for (call, error) in failures {
         let ((folder, listen), backends) = (place("faulty-upgrade"), [serving("a"), serving("b")]);
         let backends = backends.each_ref();
         let environment = [("TMPDIR", folder.to_str().unwrap())];
         let (old, sending) = Shim::start_managed(&backends, &listen, &environment);
-        assert_eq!(old.call("PUT", "/backends/disable/h0").0, 200);
-        let fault = Fault::of(call, error, 3);
-        sending.fail(fault);
+        assert_eq!(old.admin_request("PUT", "/backends/disable/h0").0, 200);
+        let fault = Fault::with_error(call, error, 3);
+        sending.inject(fault);
         let (new, receiving) = Shim::start_managed_failing(&backends, &listen, &environment, &[fault]);
-        assert_eq!(new.figure("svc.backends_excluded"), Some(1), "{call:?} error {error}");
+        assert_eq!(new.metric("svc.backends_excluded"), Some(1), "{call:?} error {error}");
         assert!(sending.hits(call) + receiving.hits(call) > 0, "{call:?} error {error}");
     }
 }
@@ -247,7 +247,7 @@
         let _ = std::fs::remove_file(&path);
         let _kept = what(&path);
         let proxy = Proxy::start_managed(&backends, &listen, &[("TMPDIR", folder.to_str().unwrap())]);
-        assert!(proxy.ask(&request("GET", "/read", "5")).starts_with("HTTP/1.1 200 "));
+        assert!(proxy.fetch(&request("GET", "/read", "5")).starts_with("HTTP/1.1 200 "));
     };
     let says = |path: &Path, text: &'static [u8]| {
         let listener = UnixListener::bind(path).unwrap();
--- a/crates/proxy/tests/orders.rs
+++ b/crates/proxy/tests/orders.rs
@@ -10,7 +10,10 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-use helper::{accept, answer, asks, backend, close, counted, id, message, request, settings, write, Proxy};
+use helper::{
+    accept, backend, close, counter, read_message, request, request_id, response, send_request, settings,
+    write, Proxy,
+};
 use oorandom::Rand32;
 
 /// By ORDERS_SEEDS more are played.
@@ -56,7 +59,7 @@
             return;
         }
         let (lock, changed) = &*self.0;
-        let id = id(&message(&mut conn)).to_string();
+        let id = request_id(&read_message(&mut conn)).to_string();
         let mut said = lock.lock().unwrap();
         said.seen.push((number, id.clone()));
         let then = loop {
@@ -70,7 +73,7 @@
         match then {
             // The client may be gone, and its connection with it.
             Then::Answer => {
-                let text = answer("200 OK", "Connection: close\r\n", &id);
+                let text = response("200 OK", "Connection: close\r\n", &id);
                 let _ = std::io::Write::write_all(&mut conn, text.as_bytes());
             }
             Then::Close => close(conn),
@@ -98,7 +101,7 @@
     fn asks(proxy: &Proxy, rng: &mut Rand32) -> Client {
         let once = rng.rand_range(0..2) == 0;
         let text = if once { request("POST", "/write", "30") } else { request("GET", "/read", "30") };
-        Client { stream: Some(asks(proxy, &text)), id: id(&text).to_string(), once }
+        Client { stream: Some(send_request(proxy, &text)), id: request_id(&text).to_string(), once }
     }
 }
 
@@ -118,10 +121,10 @@
     let (listeners, backends) = ([backend(), backend()], Backends::default());
     let proxy = Proxy::start_with(&[&listeners[0], &listeners[1]], 1024, &settings(20_000, ""));
     let mut call = accept(&proxy.discovery);
-    message(&mut call);
+    read_message(&mut call);
     (0..2).for_each(|number| backends.serve(number, &listeners[number]));
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| Client::asks(&proxy, &mut rng)).collect();
-    while counted(&proxy, "taken") < CLIENTS as u64 {}
+    while counter(&proxy, "taken") < CLIENTS as u64 {}
     while backends.seen().len() < OUT {}
     let out: Vec<String> = backends.seen().into_iter().map(|(_, id)| id).collect();
     let place = |id: &String| clients.iter().position(|client| client.id == *id).unwrap();
@@ -135,7 +138,7 @@
         steps.swap(at, rng.rand_range(0..at as u32 + 1) as usize);
     }
     let (mut gone, mut term) = (Vec::new(), false);
-    proxy.hold();
+    proxy.pause();
     for step in &steps {
         match *step {
             Step::Gone(place) => {
@@ -156,7 +159,7 @@
                 let dial = listeners[0].local_addr().unwrap();
                 let host = format!(r#"{{"host":"h0","dial":"{dial}","site":"a","health":"Terminating"}}"#);
                 let list = format!(r#"{{"seq":5,"whole":false,"hosts":[{host}]}}"#);
-                write(&mut call, &answer("200 OK", "", &list));
+                write(&mut call, &response("200 OK", "", &list));
             }
             Step::Comes => clients.push(Client::asks(&proxy, &mut rng)),
             Step::Term => {
@@ -166,8 +169,8 @@
         }
     }
     let before = backends.seen().len();
-    proxy.go_on();
-    message(&mut call); // the list is heard
+    proxy.resume();
+    read_message(&mut call); // the list is heard
     backends.say(|said| said.free = true);
     let case = format!("seed {seed}: {steps:?}");
     for client in &mut clients {
@@ -183,7 +186,7 @@
     if !term {
         // The drain was heard: what comes from here on goes to the other one.
         let from = backends.seen().len();
-        (0..6).for_each(|_| drop(helper::ask(&proxy.address, &request("GET", "/read", "30"))));
+        (0..6).for_each(|_| drop(helper::fetch(&proxy.address, &request("GET", "/read", "30"))));
         assert!(backends.seen()[from..].iter().all(|(number, _)| *number == 1), "a drain is kept: {case}");
     }
     let seen = backends.seen();
--- a/crates/proxy/tests/process_failures.rs
+++ b/crates/proxy/tests/process_failures.rs
@@ -5,8 +5,8 @@
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
 
-use helper::shim::{errno, Call, Fault, Shim};
-use helper::{accept, answer, backend, kept, message, serve, settings, write, Proxy};
+use helper::shim::{errno, Fault, Shim, SystemCall};
+use helper::{accept, backend, keep_alive_request, read_message, response, serve, settings, write, Proxy};
 
 /// Guards against a signal that is not heard until something else wakes the loop.
 #[test]
@@ -15,37 +15,37 @@
     let (proxy, shim) = Shim::start(&[&listener], &settings(500, ""));
     serve(listener);
     let mut client = proxy.connect();
-    write(&mut client, &kept("GET", "/read"));
-    assert!(message(&mut client).ends_with("fine"));
-    shim.fail(Fault::of(Call::SignalWake, errno::ENOBUFS, 100));
+    write(&mut client, &keep_alive_request("GET", "/read"));
+    assert!(read_message(&mut client).ends_with("fine"));
+    shim.inject(Fault::with_error(SystemCall::SignalWake, errno::ENOBUFS, 100));
     let start = Instant::now();
     proxy.signal("-TERM");
-    proxy.logged("signal=15");
+    proxy.wait_for_log("signal=15");
     assert!(start.elapsed() < Duration::from_millis(100), "heard after {:?}", start.elapsed());
-    assert!(shim.hits(Call::SignalWake) > 0);
+    assert!(shim.hits(SystemCall::SignalWake) > 0);
     drop(client);
-    assert_eq!(proxy.end(), Some(0));
+    assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
 /// Guards against a new configuration that is lost because its file could not be read in the moment of the signal.
 #[test]
 fn a_new_configuration_is_read_once_its_file_can_be() {
     let failures = [
-        (Call::FileOpen, errno::EMFILE),
-        (Call::FileOpen, errno::ENFILE),
-        (Call::FileOpen, errno::EIO),
-        (Call::FileOpen, errno::ENOMEM),
-        (Call::FileRead, errno::EIO),
-        (Call::FileRead, errno::ENOMEM),
+        (SystemCall::FileOpen, errno::EMFILE),
+        (SystemCall::FileOpen, errno::ENFILE),
+        (SystemCall::FileOpen, errno::EIO),
+        (SystemCall::FileOpen, errno::ENOMEM),
+        (SystemCall::FileRead, errno::EIO),
+        (SystemCall::FileRead, errno::ENOMEM),
     ];
     for (call, error) in failures {
         let listener = backend();
         let (proxy, shim) = Shim::start(&[&listener], &settings(500, ""));
         let agent = backend();
-        shim.fail(Fault::of(call, error, 5));
-        proxy.move_to(&agent);
+        shim.inject(Fault::with_error(call, error, 5));
+        proxy.switch_agent(&agent);
         let start = Instant::now();
-        message(&mut accept(&agent));
+        read_message(&mut accept(&agent));
         assert!(
             start.elapsed() < Duration::from_secs(2),
             "{call:?} error {error}: after {:?}",
@@ -59,19 +59,22 @@
 #[test]
 fn it_starts_though_a_call_fails_for_a_moment() {
     let failures = [
-        (Call::FileOpen, errno::ENFILE),
-        (Call::FileOpen, errno::EIO),
-        (Call::FileRead, errno::EIO),
-        (Call::Socket, errno::ENFILE),
-        (Call::Socket, errno::ENOBUFS),
-        (Call::EpollAdd, errno::ENOMEM),
+        (SystemCall::FileOpen, errno::ENFILE),
+        (SystemCall::FileOpen, errno::EIO),
+        (SystemCall::FileRead, errno::EIO),
+        (SystemCall::Socket, errno::ENFILE),
+        (SystemCall::Socket, errno::ENOBUFS),
+        (SystemCall::EpollAdd, errno::ENOMEM),
     ];
     for (call, error) in failures {
         let listener = backend();
-        let fault = Fault::of(call, error, 2);
+        let fault = Fault::with_error(call, error, 2);
         let (proxy, shim) = Shim::start_failing(&[&listener], &settings(500, ""), &[fault]);
         serve(listener);
-        assert!(proxy.ask(&helper::request("GET", "/read", "1")).ends_with("fine"), "{call:?} error {error}");
+        assert!(
+            proxy.fetch(&helper::request("GET", "/read", "1")).ends_with("fine"),
+            "{call:?} error {error}"
+        );
         assert!(shim.hits(call) > 0, "{call:?}");
     }
 }
@@ -86,9 +89,9 @@
         let start = Instant::now();
         write(&mut client, &helper::request("POST", "/write", "0.5"));
         let mut conn = accept(&listener);
-        message(&mut conn);
+        read_message(&mut conn);
         shim.step_wall_clock(step);
-        let answered = message(&mut client);
+        let answered = read_message(&mut client);
         let took = start.elapsed();
         assert!(answered.starts_with("HTTP/1.1 50"), "step {step}: {answered:?}");
         let fits = took > Duration::from_millis(350) && took < Duration::from_millis(550);
@@ -102,18 +105,18 @@
     let listener = backend();
     let (proxy, shim) = Shim::start(&[&listener], &settings(500, ""));
     let mut client = proxy.connect();
-    shim.fail(Fault::of(Call::EpollWait, errno::ENOMEM, 20));
-    write(&mut client, &kept("GET", "/read"));
+    shim.inject(Fault::with_error(SystemCall::EpollWait, errno::ENOMEM, 20));
+    write(&mut client, &keep_alive_request("GET", "/read"));
     let mut conn = accept(&listener);
-    message(&mut conn);
-    write(&mut conn, &answer("200 OK", "", "fine"));
-    assert!(message(&mut client).ends_with("fine"));
+    read_message(&mut conn);
+    write(&mut conn, &response("200 OK", "", "fine"));
+    assert!(read_message(&mut client).ends_with("fine"));
     // All of them fail, and it serves on.
-    shim.wait_for_hits(Call::EpollWait, 20);
-    write(&mut client, &kept("GET", "/read"));
-    message(&mut conn);
-    write(&mut conn, &answer("200 OK", "", "fine"));
-    assert!(message(&mut client).ends_with("fine"));
+    shim.wait_for_hits(SystemCall::EpollWait, 20);
+    write(&mut client, &keep_alive_request("GET", "/read"));
+    read_message(&mut conn);
+    write(&mut conn, &response("200 OK", "", "fine"));
+    assert!(read_message(&mut client).ends_with("fine"));
 }
 
 /// Guards against a configuration that is lost because the signal came while its file was being written.
@@ -122,13 +125,13 @@
     let listener = backend();
     let (proxy, _shim) = Shim::start(&[&listener], &settings(500, ""));
     let agent = backend();
-    let whole = proxy.half_move_to(&agent);
+    let whole = proxy.write_truncated_config(&agent);
     proxy.signal("-HUP");
-    proxy.logged("configuration kept as it was");
+    proxy.wait_for_log("configuration kept as it was");
     std::thread::sleep(Duration::from_millis(300));
-    proxy.finish_writing(&whole);
+    proxy.write_config(&whole);
     let start = Instant::now();
-    message(&mut accept(&agent));
+    read_message(&mut accept(&agent));
     assert!(start.elapsed() < Duration::from_secs(1), "after {:?}", start.elapsed());
 }
 
@@ -145,7 +148,7 @@
     });
     let proxy = Proxy::start_at(&[&listener], &addresses);
     serve(listener);
-    assert!(proxy.ask(&helper::request("GET", "/read", "1")).ends_with("fine"));
+    assert!(proxy.fetch(&helper::request("GET", "/read", "1")).ends_with("fine"));
 }
 
 /// Guards against a log that nobody reads holding up all that is served.
@@ -154,9 +157,9 @@
     let listener = backend();
     let (text, _discovery) =
         helper::config(&[&listener], 1024, &settings(500, ""), r#""listen":"127.0.0.1:0""#);
-    let path = helper::new_path();
-    let (child, _) = helper::run(&text, 1024, &path, &[("SPARLUG_LOG", "trace")]);
-    let mut child = helper::Ended(child);
+    let path = helper::new_config_path();
+    let (child, _) = helper::spawn_proxy(&text, 1024, &path, &[("SPARLUG_LOG", "trace")]);
+    let mut child = helper::KillOnDrop(child);
     let mut log = BufReader::new(child.0.stderr.take().unwrap());
     let mut line = String::new();
     while !line.contains(" listen=") {
@@ -169,9 +172,9 @@
     let mut client = std::net::TcpStream::connect(&address).unwrap();
     client.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     for number in 0..1_000 {
-        write(&mut client, &kept("GET", "/read"));
+        write(&mut client, &keep_alive_request("GET", "/read"));
         assert_eq!(client.peek(&mut [0]).ok(), Some(1), "request {number} is not answered");
-        assert!(message(&mut client).ends_with("fine"));
+        assert!(read_message(&mut client).ends_with("fine"));
     }
     // Once it is read again, lines come again, and the count of those left out.
     let (sender, lines) = std::sync::mpsc::channel();
--- a/crates/proxy/tests/shim/faults.c
+++ b/crates/proxy/tests/shim/faults.c
@@ -19,7 +19,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The order is that of `Call` in helper/shim.rs. */
+/* The order is that of `SystemCall` in helper/shim.rs. */
 enum call {
     ACCEPT,
     SOCKET,
--- a/crates/proxy/tests/soak/clients.rs
+++ b/crates/proxy/tests/soak/clients.rs
@@ -128,14 +128,14 @@
                     let _ = stream.shutdown(std::net::Shutdown::Both);
                     End::Left
                 }
-                None => answer(&mut stream, sent + wait + SLACK, helper::id(&text)),
+                None => answer(&mut stream, sent + wait + SLACK, helper::request_id(&text)),
             },
         };
         let ended = Instant::now();
         if matches!(end, End::Answered { whole: true, close: false, .. }) {
             self.connection = Some(stream);
         }
-        let id = helper::id(&text).to_string();
+        let id = helper::request_id(&text).to_string();
         Some(Record { id, once, wait, sent, ended, end })
     }
 
--- a/crates/proxy/tests/soak/judge.rs
+++ b/crates/proxy/tests/soak/judge.rs
@@ -16,7 +16,7 @@
 
 /// Seconds of processor time that a process has used.
 pub fn processor_time(proxy: &Proxy) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", proxy.id())).unwrap();
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", proxy.pid())).unwrap();
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
@@ -79,7 +79,7 @@
         |played: &&Played| played.ends_clients() && played.overlaps(record.sent - EARLIER, record.ended);
     let until = record.sent + record.wait + SLACK;
     let excused = outcome.faults.iter().any(|played| ends(&played) || played.left_no_way(record.sent, until));
-    let arrived = outcome.arrivals.iter().any(|all| !all.of(&record.id).is_empty());
+    let arrived = outcome.arrivals.iter().any(|all| !all.with_id(&record.id).is_empty());
     // It crossed the end of a connection, or of the listener, as the proxy goes down, and was not read.
     let crossed = record.sent > outcome.term + ENDS_FROM
         && !arrived
@@ -93,7 +93,7 @@
 
 /// What is wrong with the attempts of a request, if anything.
 fn misforwarded(record: &Record, outcome: &Outcome) -> Option<String> {
-    let arrivals: Vec<_> = outcome.arrivals.iter().flat_map(|all| all.of(&record.id)).collect();
+    let arrivals: Vec<_> = outcome.arrivals.iter().flat_map(|all| all.with_id(&record.id)).collect();
     if record.once && arrivals.len() > 1 {
         return Some(format!("run {} times: {record:?}", arrivals.len()));
     }
@@ -102,6 +102,6 @@
         return Some(format!("begun after its client had left: {record:?}"));
     }
     let left = |at: Instant| record.wait.as_secs_f64() - (at - record.sent).as_secs_f64();
-    let over = arrivals.iter().find(|arrival| arrival.time_out > left(arrival.at) + TOLD_SLACK);
-    over.map(|arrival| format!("told {} s with {} s left: {record:?}", arrival.time_out, left(arrival.at)))
+    let over = arrivals.iter().find(|arrival| arrival.timeout > left(arrival.at) + TOLD_SLACK);
+    over.map(|arrival| format!("told {} s with {} s left: {record:?}", arrival.timeout, left(arrival.at)))
 }
--- a/crates/proxy/tests/soak/plan.rs
+++ b/crates/proxy/tests/soak/plan.rs
@@ -4,7 +4,7 @@
 
 use oorandom::Rand32;
 
-use crate::helper::shim::{errno, Call, Fault, Shim};
+use crate::helper::shim::{errno, Fault, Shim, SystemCall};
 
 /// Which side's sockets a fault falls on.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,9 +28,9 @@
 /// Errors that end the connection on which they come.
 const ENDS: [u32; 4] = [errno::ETIMEDOUT, errno::EHOSTUNREACH, errno::ECONNRESET, errno::EPIPE];
 /// Calls with their errors, 0 for a short transfer, and the sides on which they fail.
-pub const CALLS: [(Call, &[u32], &[Side]); 15] = [
+pub const CALLS: [(SystemCall, &[u32], &[Side]); 15] = [
     (
-        Call::Accept,
+        SystemCall::Accept,
         &[
             errno::EINTR,
             errno::ECONNABORTED,
@@ -45,9 +45,9 @@
         ],
         &[Side::Clients],
     ),
-    (Call::Socket, &[errno::EMFILE, errno::ENFILE, errno::ENOBUFS, errno::ENOMEM], &[Side::Any]),
+    (SystemCall::Socket, &[errno::EMFILE, errno::ENFILE, errno::ENOBUFS, errno::ENOMEM], &[Side::Any]),
     (
-        Call::Connect,
+        SystemCall::Connect,
         &[
             errno::EINTR,
             errno::EAGAIN,
@@ -61,7 +61,7 @@
         &[Side::Backends, Side::Any],
     ),
     (
-        Call::Read,
+        SystemCall::Read,
         &[
             0,
             errno::EINTR,
@@ -74,7 +74,7 @@
         &[Side::Clients, Side::Backends],
     ),
     (
-        Call::Write,
+        SystemCall::Write,
         &[
             0,
             errno::EINTR,
@@ -86,16 +86,16 @@
         ],
         &[Side::Clients, Side::Backends],
     ),
-    (Call::EpollAdd, &[errno::ENOMEM, errno::ENOSPC], &[Side::Clients, Side::Backends, Side::Any]),
-    (Call::EpollWait, &[errno::EINTR], &[Side::Any]),
-    (Call::PeerName, &[errno::ENOBUFS, errno::ENOTCONN], &[Side::Backends]),
-    (Call::SocketError, &[errno::ENOBUFS], &[Side::Backends]),
-    (Call::LogWrite, &[errno::ENOSPC, errno::EIO, errno::EINTR, errno::EAGAIN], &[Side::Any]),
-    (Call::FileOpen, &[errno::ENFILE, errno::EIO], &[Side::Any]),
-    (Call::FileRead, &[errno::EIO, errno::EINTR], &[Side::Any]),
-    (Call::SignalWake, &[errno::ENOBUFS], &[Side::Any]),
-    (Call::DatagramRead, &[errno::EINTR], &[Side::Any]),
-    (Call::SetOption, &[errno::ENOBUFS, errno::ENOMEM], &[Side::Clients, Side::Backends]),
+    (SystemCall::EpollAdd, &[errno::ENOMEM, errno::ENOSPC], &[Side::Clients, Side::Backends, Side::Any]),
+    (SystemCall::EpollWait, &[errno::EINTR], &[Side::Any]),
+    (SystemCall::PeerName, &[errno::ENOBUFS, errno::ENOTCONN], &[Side::Backends]),
+    (SystemCall::SocketError, &[errno::ENOBUFS], &[Side::Backends]),
+    (SystemCall::LogWrite, &[errno::ENOSPC, errno::EIO, errno::EINTR, errno::EAGAIN], &[Side::Any]),
+    (SystemCall::FileOpen, &[errno::ENFILE, errno::EIO], &[Side::Any]),
+    (SystemCall::FileRead, &[errno::EIO, errno::EINTR], &[Side::Any]),
+    (SystemCall::SignalWake, &[errno::ENOBUFS], &[Side::Any]),
+    (SystemCall::DatagramRead, &[errno::EINTR], &[Side::Any]),
+    (SystemCall::SetOption, &[errno::ENOBUFS, errno::ENOMEM], &[Side::Clients, Side::Backends]),
 ];
 
 impl Played {
@@ -107,14 +107,14 @@
     /// Whether each accept, each read from clients or each write to them failed from before an answer could have been
     /// given until its client waited no more: nobody could have served it then.
     pub fn left_no_way(&self, sent: Instant, until: Instant) -> bool {
-        let call = matches!(self.fault.call, Call::Accept | Call::Read | Call::Write);
+        let call = matches!(self.fault.call, SystemCall::Accept | SystemCall::Read | SystemCall::Write);
         let each = call && self.fault.error != 0 && self.fault.every == 1 && self.side != Side::Backends;
         each && self.from <= sent + LONGEST_ANSWER && self.to >= until
     }
 
     /// Whether it may end a client's connection.
     pub fn ends_clients(&self) -> bool {
-        matches!(self.fault.call, Call::Read | Call::Write)
+        matches!(self.fault.call, SystemCall::Read | SystemCall::Write)
             && self.side != Side::Backends
             && ENDS.contains(&self.fault.error)
     }
@@ -132,12 +132,12 @@
     };
     let every = [1, 1, 2, 3, 7][rng.rand_range(0..5) as usize];
     let fault = match error {
-        0 => Fault::short(call, rng.rand_range(1..40), u32::MAX),
-        error => Fault::of(call, error, u32::MAX),
+        0 => Fault::short_transfer(call, rng.rand_range(1..40), u32::MAX),
+        error => Fault::with_error(call, error, u32::MAX),
     };
-    let fault = fault.at(port).every(every);
+    let fault = fault.on_port(port).one_in(every);
     let from = Instant::now();
-    shim.fail(fault);
+    shim.inject(fault);
     std::thread::sleep(Duration::from_millis(rng.rand_range(20..500).into()));
     shim.clear(call);
     Played { fault, side, from, to: Instant::now() }
--- a/crates/proxy/tests/soak/servers.rs
+++ b/crates/proxy/tests/soak/servers.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use crate::helper::{answer, Arrivals};
+use crate::helper::{response, Arrivals};
 
 const LONGEST_WAIT: Duration = Duration::from_secs(20);
 
@@ -42,11 +42,11 @@
     let arrivals = Arrivals::default();
     let all = arrivals.clone();
     serve_by(listener, move |text| {
-        all.add(text);
-        let id = crate::helper::id(text);
+        all.record(text);
+        let id = crate::helper::request_id(text);
         let sum: u64 = id.bytes().map(u64::from).sum();
         std::thread::sleep(Duration::from_millis(sum * 7 % 25));
-        answer("200 OK", "", id)
+        response("200 OK", "", id)
     });
     arrivals
 }
@@ -55,6 +55,6 @@
 pub fn agent(listener: TcpListener) {
     serve_by(listener, |_| {
         std::thread::sleep(Duration::from_millis(300));
-        answer("200 OK", "", r#"{"seq":4,"whole":false,"hosts":[]}"#)
+        response("200 OK", "", r#"{"seq":4,"whole":false,"hosts":[]}"#)
     });
 }
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -4,7 +4,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use helper::{accept, answer, backend, message, write, Proxy};
+use helper::{accept, backend, read_message, response, write, Proxy};
 use sparlug::event::{Condition, Listing};
 use sparlug::id::{PodId, ZoneId};
 use sparlug::time::{Span, Time};
@@ -99,14 +99,14 @@
         let listener = backend();
         let proxy = Proxy::start_managed(&[&listener], "127.0.0.1:0", &[]);
         let mut call = accept(&proxy.discovery);
-        message(&mut call);
+        read_message(&mut call);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as i64;
         let (dial, born) = (listener.local_addr().unwrap(), now + offset);
         let host = format!(r#"{{"host":"h1","dial":"{dial}","site":"a","health":"Ready","born_ms":{born}}}"#);
         let list = format!(r#"{{"seq":5,"whole":false,"hosts":[{host}]}}"#);
-        write(&mut call, &answer("200 OK", "", &list));
-        assert!(message(&mut call).contains("index=5"), "the list is heard");
-        let figure = proxy.figure("svc.start_times_corrected");
+        write(&mut call, &response("200 OK", "", &list));
+        assert!(read_message(&mut call).contains("index=5"), "the list is heard");
+        let figure = proxy.metric("svc.start_times_corrected");
         assert_eq!(figure, Some(corrected), "a stamp {offset} ms off");
     }
 }
--- a/crates/proxy/tests/streaming.rs
+++ b/crates/proxy/tests/streaming.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-use helper::{accept, answer, backend, message, request, write, Proxy};
+use helper::{accept, backend, read_message, request, response, write, Proxy};
 use oorandom::Rand32;
 use sparlug_proxy::body::{Body, Framing, HttpError, MAX_BODY_BYTES};
 
@@ -70,8 +70,8 @@
     client.read_to_end(&mut seen).unwrap();
     writer.join().unwrap();
     assert!(seen == sent && told.recv().unwrap() == sent);
-    assert_eq!(proxy.figure("svc.requests.write.served"), Some(1));
-    assert_eq!((proxy.figure("svc.in_flight"), proxy.figure("svc.attempts")), (Some(0), Some(1)));
+    assert_eq!(proxy.metric("svc.requests.write.served"), Some(1));
+    assert_eq!((proxy.metric("svc.in_flight"), proxy.metric("svc.attempts")), (Some(0), Some(1)));
 }
 
 #[test]
@@ -85,7 +85,7 @@
         let mut client = proxy.connect();
         write(&mut client, &request("GET", "/read", "5"));
         let mut conn = accept(&listener);
-        message(&mut conn);
+        read_message(&mut conn);
         write(&mut conn, &format!("HTTP/1.1 200 OK\r\n{lines}\r\n"));
         write(&mut conn, if chunk.is_empty() { "first" } else { chunk });
         let head = head(&mut client);
@@ -101,7 +101,7 @@
         let whole = text.ends_with(b"0\r\n\r\n") || text.len() >= 100_000;
         assert!(!whole, "{lines:?}: {:?}", String::from_utf8_lossy(&text));
     }
-    assert_eq!(proxy.figure("svc.requests.read.failed"), Some(3));
+    assert_eq!(proxy.metric("svc.requests.read.failed"), Some(3));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let mut client = proxy.connect();
     write(&mut client, &request("GET", "/read", "5"));
     let mut conn = accept(&listener);
-    message(&mut conn);
+    read_message(&mut conn);
     write(&mut conn, "HTTP/1.1 200 OK\r\n\r\n");
     conn.write_all(&bytes(LONG)).unwrap();
     conn.shutdown(Shutdown::Both).unwrap();
@@ -125,18 +125,18 @@
 
 /// Begins an upload of so many bytes, of which the first backend takes `before` and then breaks.
 fn broken_upload(length: usize, before: usize) -> (u16, Option<Vec<u8>>) {
-    let (first, (second, told)) = (backend(), taking(|_| answer("200 OK", "", "").into_bytes()));
+    let (first, (second, told)) = (backend(), taking(|_| response("200 OK", "", "").into_bytes()));
     let proxy = Proxy::start_managed(&[&first, &second], "127.0.0.1:0", &[]);
     // Only the one that breaks is there at first.
-    assert_eq!(proxy.call("PUT", "/backends/disable/h1").0, 200);
+    assert_eq!(proxy.admin_request("PUT", "/backends/disable/h1").0, 200);
     let (mut client, sent) = (proxy.connect(), bytes(length));
     write(&mut client, &upload(length));
     client.write_all(&sent[..before]).unwrap();
     let mut conn = accept(&first);
     head(&mut conn);
     conn.read_exact(&mut vec![0; before]).unwrap();
-    assert_eq!(proxy.call("PUT", "/backends/enable/h1").0, 200);
-    assert_eq!(proxy.call("PUT", "/backends/disable/h0").0, 200);
+    assert_eq!(proxy.admin_request("PUT", "/backends/enable/h1").0, 200);
+    assert_eq!(proxy.admin_request("PUT", "/backends/disable/h0").0, 200);
     drop(conn);
     let _ = client.write_all(&sent[before..]);
     let status = head(&mut client).split(' ').nth(1).and_then(|status| status.parse().ok());
@@ -162,8 +162,8 @@
         client.write_all(&bytes(length / 2)).unwrap();
         assert!(head(&mut client).starts_with("HTTP/1.1 408 "), "{length}");
     }
-    assert_eq!(proxy.figure("svc.in_flight"), Some(0));
-    assert_eq!(proxy.figure("svc.attempts"), Some(0));
+    assert_eq!(proxy.metric("svc.in_flight"), Some(0));
+    assert_eq!(proxy.metric("svc.attempts"), Some(0));
 }
 
 #[test]
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -2,7 +2,9 @@
 
 mod helper;
 
-use helper::{accept, answer, asks, backend, counted, message, request, settings, write, Proxy};
+use helper::{
+    accept, backend, counter, read_message, request, response, send_request, settings, write, Proxy,
+};
 
 fn of(tenant: &str) -> String {
     request("GET", "/read", "30").replace("Connection: close\r\n", &format!("Tenant: {tenant}\r\n"))
@@ -17,18 +19,18 @@
     let proxy = Proxy::start_with(&[&backend], 1024, &settings);
     let mut out = Vec::new();
     for _ in 0..4 {
-        let client = asks(&proxy, &of(floods));
+        let client = send_request(&proxy, &of(floods));
         let mut conn = accept(&backend);
-        message(&mut conn);
+        read_message(&mut conn);
         out.push((client, conn));
     }
-    let _first = asks(&proxy, &of(floods));
-    while counted(&proxy, "taken") < 5 {}
-    let _second = asks(&proxy, &of(waits));
-    while counted(&proxy, "taken") < 6 {}
-    assert_eq!(counted(&proxy, "forwards"), 4, "two wait");
-    write(&mut out[0].1, &answer("200 OK", "Connection: close\r\n", "fine"));
-    let text = message(&mut accept(&backend));
+    let _first = send_request(&proxy, &of(floods));
+    while counter(&proxy, "taken") < 5 {}
+    let _second = send_request(&proxy, &of(waits));
+    while counter(&proxy, "taken") < 6 {}
+    assert_eq!(counter(&proxy, "forwards"), 4, "two wait");
+    write(&mut out[0].1, &response("200 OK", "Connection: close\r\n", "fine"));
+    let text = read_message(&mut accept(&backend));
     text.lines().find_map(|line| line.strip_prefix("Tenant: ")).unwrap().to_string()
 }
 
--- a/crates/proxy/tests/transfer_failures.rs
+++ b/crates/proxy/tests/transfer_failures.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-use helper::shim::{errno, Call, Fault, Shim};
-use helper::{backend, kept, message, serve, settings, write};
+use helper::shim::{errno, Fault, Shim, SystemCall};
+use helper::{backend, keep_alive_request, read_message, serve, settings, write};
 
 const SOON: Duration = Duration::from_millis(500);
 const REQUESTS: usize = 6;
@@ -18,17 +18,17 @@
         let (proxy, shim) = Shim::start(&[&listener], &settings(1000, ""));
         let arrivals = serve(listener);
         let client_port = proxy.address.rsplit(':').next().unwrap().parse().unwrap();
-        shim.fail(fault.at(if at_backend { backend_port } else { client_port }));
+        shim.inject(fault.on_port(if at_backend { backend_port } else { client_port }));
         let mut client = proxy.connect();
         for _ in 0..REQUESTS {
-            let text = kept(method, path);
+            let text = keep_alive_request(method, path);
             let start = Instant::now();
             write(&mut client, &text);
-            let answered = message(&mut client);
+            let answered = read_message(&mut client);
             let case = format!("{fault:?} {method}: {answered:?} after {:?}", start.elapsed());
             assert!(answered.ends_with("fine"), "{case}");
             assert!(start.elapsed() < SOON, "{case}");
-            assert_eq!(arrivals.of(helper::id(&text)).len(), 1, "{case}");
+            assert_eq!(arrivals.with_id(helper::request_id(&text)).len(), 1, "{case}");
         }
         assert!(shim.hits(fault.call) > 0, "{fault:?}");
     }
@@ -37,9 +37,12 @@
 #[test]
 fn a_call_that_fails_for_want_of_memory_is_made_again() {
     for error in [errno::ENOBUFS, errno::ENOMEM] {
-        for call in [Call::Read, Call::Write] {
+        for call in [SystemCall::Read, SystemCall::Write] {
             for at_backend in [false, true] {
-                every_request_is_answered_and_runs_once(Fault::of(call, error, 12).every(2), at_backend);
+                every_request_is_answered_and_runs_once(
+                    Fault::with_error(call, error, 12).one_in(2),
+                    at_backend,
+                );
             }
         }
     }
@@ -47,18 +50,25 @@
 
 #[test]
 fn interrupted_calls_are_made_again() {
-    for call in [Call::Read, Call::Write] {
+    for call in [SystemCall::Read, SystemCall::Write] {
         for at_backend in [false, true] {
-            every_request_is_answered_and_runs_once(Fault::of(call, errno::EINTR, 200).every(2), at_backend);
+            every_request_is_answered_and_runs_once(
+                Fault::with_error(call, errno::EINTR, 200).one_in(2),
+                at_backend,
+            );
         }
     }
-    every_request_is_answered_and_runs_once(Fault::of(Call::EpollWait, errno::EINTR, 2000), false);
+    every_request_is_answered_and_runs_once(
+        Fault::with_error(SystemCall::EpollWait, errno::EINTR, 2000),
+        false,
+    );
 }
 
 /// Guards against a call that is made again without end, while everybody else waits.
 #[test]
 fn a_call_that_is_always_interrupted_holds_nobody_up() {
-    for (call, at_backend) in [(Call::Read, false), (Call::Read, true), (Call::Write, true)] {
+    for (call, at_backend) in [(SystemCall::Read, false), (SystemCall::Read, true), (SystemCall::Write, true)]
+    {
         let listener = backend();
         let backend_port = listener.local_addr().unwrap().port();
         let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
@@ -66,14 +76,14 @@
         let mut client = proxy.connect();
         write(&mut client, &helper::request("GET", "/read", "0.5"));
         let mut conn = helper::accept(&listener);
-        message(&mut conn);
+        read_message(&mut conn);
         let port = if at_backend { backend_port } else { client_port };
-        shim.fail(Fault::of(call, errno::EINTR, u32::MAX).at(port));
+        shim.inject(Fault::with_error(call, errno::EINTR, u32::MAX).on_port(port));
         let mut other = proxy.connect();
         write(&mut other, &helper::request("GET", "/read", "0.5"));
         write(&mut conn, "HTTP/1.1 200"); // has the proxy read there
         let start = Instant::now();
-        let answered = message(&mut client);
+        let answered = read_message(&mut client);
         assert!(answered.starts_with("HTTP/1.1 50"), "{call:?}: {answered:?}");
         assert!(start.elapsed() < Duration::from_millis(700), "{call:?}: after {:?}", start.elapsed());
         shim.clear(call);
@@ -82,10 +92,13 @@
 
 #[test]
 fn short_reads_and_writes_lose_nothing() {
-    for call in [Call::Read, Call::Write] {
+    for call in [SystemCall::Read, SystemCall::Write] {
         for at_backend in [false, true] {
             for bytes in [1, 7] {
-                every_request_is_answered_and_runs_once(Fault::short(call, bytes, u32::MAX), at_backend);
+                every_request_is_answered_and_runs_once(
+                    Fault::short_transfer(call, bytes, u32::MAX),
+                    at_backend,
+                );
             }
         }
     }
@@ -97,17 +110,17 @@
         let listener = backend();
         let (proxy, shim) = Shim::start(&[&listener], &settings(1000, ""));
         serve(listener);
-        shim.fail(Fault::of(Call::LogWrite, error, 10));
+        shim.inject(Fault::with_error(SystemCall::LogWrite, error, 10));
         proxy.signal("-USR1"); // prints the counters
-        shim.wait_for_hits(Call::LogWrite, 1);
+        shim.wait_for_hits(SystemCall::LogWrite, 1);
         let mut client = proxy.connect();
         for _ in 0..REQUESTS {
-            write(&mut client, &kept("GET", "/read"));
-            assert!(message(&mut client).ends_with("fine"), "error {error}");
+            write(&mut client, &keep_alive_request("GET", "/read"));
+            assert!(read_message(&mut client).ends_with("fine"), "error {error}");
         }
-        shim.clear(Call::LogWrite);
+        shim.clear(SystemCall::LogWrite);
         proxy.signal("-USR1");
-        proxy.logged("counters=");
+        proxy.wait_for_log("counters=");
     }
 }
 
@@ -118,15 +131,15 @@
     let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
     let client_port = proxy.address.rsplit(':').next().unwrap().parse().unwrap();
     let mut client = proxy.connect();
-    write(&mut client, &kept("GET", "/read"));
+    write(&mut client, &keep_alive_request("GET", "/read"));
     let mut conn = helper::accept(&listener);
-    message(&mut conn);
-    shim.fail(Fault::of(Call::Read, errno::ENOMEM, 4).at(client_port));
+    read_message(&mut conn);
+    shim.inject(Fault::with_error(SystemCall::Read, errno::ENOMEM, 4).on_port(client_port));
     helper::close(client);
     // Its attempt is cancelled, which closes the connection to the backend.
     conn.set_read_timeout(Some(SOON)).unwrap();
     assert_eq!(std::io::Read::read(&mut conn, &mut [0]).ok(), Some(0), "the attempt goes on");
-    assert_eq!(helper::counted(&proxy, "left"), 1);
+    assert_eq!(helper::counter(&proxy, "left"), 1);
 }
 
 /// Guards against a connection whose small writes wait for its whole life because an option could not be set once.
@@ -136,13 +149,13 @@
     let (proxy, shim) = Shim::start(&[&listener], &settings(1000, ""));
     serve(listener);
     let client_port = proxy.address.rsplit(':').next().unwrap().parse().unwrap();
-    shim.fail(Fault::of(Call::SetOption, errno::ENOBUFS, 2).at(client_port));
+    shim.inject(Fault::with_error(SystemCall::SetOption, errno::ENOBUFS, 2).on_port(client_port));
     let mut client = proxy.connect();
     for _ in 0..3 {
-        write(&mut client, &kept("GET", "/read"));
-        assert!(message(&mut client).ends_with("fine"));
+        write(&mut client, &keep_alive_request("GET", "/read"));
+        assert!(read_message(&mut client).ends_with("fine"));
     }
-    shim.wait_for_hits(Call::SetOption, 2);
+    shim.wait_for_hits(SystemCall::SetOption, 2);
 }
 
 /// Guards against a read that failed once making a request old whose last byte comes much later.
@@ -153,12 +166,12 @@
     serve(listener);
     let client_port = proxy.address.rsplit(':').next().unwrap().parse().unwrap();
     let mut client = proxy.connect();
-    shim.fail(Fault::of(Call::Read, errno::ENOMEM, 1).at(client_port));
+    shim.inject(Fault::with_error(SystemCall::Read, errno::ENOMEM, 1).on_port(client_port));
     let text = helper::request("GET", "/read", "0.5");
     let (half, rest) = text.split_at(text.len() / 2);
     write(&mut client, half);
-    shim.wait_for_hits(Call::Read, 1);
+    shim.wait_for_hits(SystemCall::Read, 1);
     std::thread::sleep(Duration::from_millis(1_000));
     write(&mut client, rest);
-    assert!(message(&mut client).ends_with("fine"));
+    assert!(read_message(&mut client).ends_with("fine"));
 }
--- a/crates/proxy/tests/watching.rs
+++ b/crates/proxy/tests/watching.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use helper::{
-    accept, answer, backend, close, counted, message, request, settings, unreachable, write, Proxy,
+    accept, backend, close, counter, read_message, request, response, settings, unreachable_backend, write,
+    Proxy,
 };
 
 /// What the rule leaves for a call that was lost, the pause and the next call, its answer aside.
@@ -40,10 +41,10 @@
         close(call);
         None
     }),
-    ("503", |call| says(&answer("503 Service Unavailable", "", ""))(call)),
-    ("404", |call| says(&answer("404 Not Found", "Connection: close\r\n", "no such list"))(call)),
+    ("503", |call| says(&response("503 Service Unavailable", "", ""))(call)),
+    ("404", |call| says(&response("404 Not Found", "Connection: close\r\n", "no such list"))(call)),
     ("what is no HTTP", |call| says("seq 5 whole true\r\n\r\n")(call)),
-    ("what is no list", |call| says(&answer("200 OK", "", r#"{"seq":5,"hosts":"#))(call)),
+    ("what is no list", |call| says(&response("200 OK", "", r#"{"seq":5,"hosts":"#))(call)),
     ("half an answer", |call| says("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{\"seq\":5,")(call)),
     ("an answer cut in its chunks", |mut call| {
         write(&mut call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"seq\":5,\r\n");
@@ -56,12 +57,12 @@
 fn next_call(call: Option<TcpStream>, agent: &TcpListener) -> TcpStream {
     if let Some(mut call) = call {
         call.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
-        if !message(&mut call).is_empty() {
+        if !read_message(&mut call).is_empty() {
             return call;
         }
     }
     let mut call = accept(agent);
-    message(&mut call);
+    read_message(&mut call);
     call
 }
 
@@ -71,7 +72,7 @@
     let settings = settings(5000, "").replace(PUSHED, mode);
     let proxy = Proxy::start_with(&[&backend], 1024, &settings);
     let mut call = accept(&proxy.discovery);
-    assert!(message(&mut call).starts_with("GET /v1/endpoints?index=4&"));
+    assert!(read_message(&mut call).starts_with("GET /v1/endpoints?index=4&"));
     for nth in 1..=3 {
         let from = Instant::now();
         call = next_call(end(call), &proxy.discovery);
@@ -81,18 +82,18 @@
     // All that was heard is the list of the start, which still serves.
     let asks = std::thread::spawn({
         let address = proxy.address.clone();
-        move || helper::ask(&address, &request("GET", "/read", "4"))
+        move || helper::fetch(&address, &request("GET", "/read", "4"))
     });
     let mut conn = accept(&backend);
-    message(&mut conn);
-    write(&mut conn, &answer("200 OK", "Connection: close\r\n", "fine"));
+    read_message(&mut conn);
+    write(&mut conn, &response("200 OK", "Connection: close\r\n", "fine"));
     assert!(asks.join().unwrap().ends_with("fine"));
-    write(&mut call, &answer("200 OK", "", r#"{"seq":5,"whole":false,"hosts":[]}"#));
+    write(&mut call, &response("200 OK", "", r#"{"seq":5,"whole":false,"hosts":[]}"#));
     let mut call = next_call(Some(call), &proxy.discovery);
-    write(&mut call, &answer("200 OK", "", r#"{"seq":6,"whole":false,"hosts":[]}"#));
+    write(&mut call, &response("200 OK", "", r#"{"seq":6,"whole":false,"hosts":[]}"#));
     next_call(Some(call), &proxy.discovery);
-    assert_eq!(counted(&proxy, "lists"), 2, "{mode}, {what}: what comes then is heard");
-    assert_eq!(counted(&proxy, "lists_failed"), 3, "{mode}, {what}: each loss is counted");
+    assert_eq!(counter(&proxy, "lists"), 2, "{mode}, {what}: what comes then is heard");
+    assert_eq!(counter(&proxy, "lists_failed"), 3, "{mode}, {what}: each loss is counted");
 }
 
 fn however_a_call_ends(mode: &str) {
@@ -116,35 +117,35 @@
 fn whole(version: u32, backend: &TcpListener) -> String {
     let dial = backend.local_addr().unwrap();
     let host = format!(r#"{{"host":"h1","dial":"{dial}","site":"a","health":"Ready"}}"#);
-    answer("200 OK", "", &format!(r#"{{"seq":{version},"whole":true,"hosts":[{host}]}}"#))
+    response("200 OK", "", &format!(r#"{{"seq":{version},"whole":true,"hosts":[{host}]}}"#))
 }
 
 /// What a whole list does not name is gone, and so are the attempts that are on their way there: they go elsewhere at
 /// once, and what has begun there goes on.
 #[test]
 fn a_whole_list_calls_off_what_is_dialled_to_a_backend_that_it_leaves_out() {
-    let ((gone, _full), stays) = (unreachable(), backend());
+    let ((gone, _full), stays) = (unreachable_backend(), backend());
     let settings = settings(20_000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":50000");
     let proxy = Proxy::start_with(&[&gone, &stays], 1024, &settings);
     let mut call = accept(&proxy.discovery);
-    message(&mut call);
+    read_message(&mut call);
     // Of two requests one goes to each: the second draws the one that holds less.
     let mut clients = [proxy.connect(), proxy.connect()];
     for (sent, client) in (1..).zip(&mut clients) {
         write(client, &request("POST", "/write", "30"));
-        while counted(&proxy, "forwards") < sent {}
+        while counter(&proxy, "forwards") < sent {}
     }
     let mut first = accept(&stays);
-    message(&mut first);
+    read_message(&mut first);
     write(&mut call, &whole(5, &stays));
     let mut second = accept(&stays);
-    message(&mut second);
-    assert_eq!(counted(&proxy, "ended_withdrawn"), 1, "what was dialled has ended");
+    read_message(&mut second);
+    assert_eq!(counter(&proxy, "ended_withdrawn"), 1, "what was dialled has ended");
     for conn in [&mut first, &mut second] {
-        write(conn, &answer("200 OK", "Connection: close\r\n", "fine"));
+        write(conn, &response("200 OK", "Connection: close\r\n", "fine"));
     }
     for client in &mut clients {
-        assert!(message(client).ends_with("fine"));
+        assert!(read_message(client).ends_with("fine"));
     }
 }
 
@@ -154,17 +155,20 @@
     let (one, other) = (backend(), backend());
     let proxy = Proxy::start(&[&one, &other]);
     let mut call = accept(&proxy.discovery);
-    message(&mut call);
+    read_message(&mut call);
     write(&mut call, &whole(2, &other));
-    assert!(proxy.logged("odd list").contains("older version"));
-    assert!(message(&mut call).starts_with("GET /v1/endpoints?index=2&"), "the watch goes on from there");
+    assert!(proxy.wait_for_log("odd list").contains("older version"));
+    assert!(
+        read_message(&mut call).starts_with("GET /v1/endpoints?index=2&"),
+        "the watch goes on from there"
+    );
     let asks = std::thread::spawn({
         let address = proxy.address.clone();
-        move || helper::ask(&address, &request("GET", "/read", "4"))
+        move || helper::fetch(&address, &request("GET", "/read", "4"))
     });
     let mut conn = accept(&other);
-    message(&mut conn);
-    write(&mut conn, &answer("200 OK", "Connection: close\r\n", "fine"));
+    read_message(&mut conn);
+    write(&mut conn, &response("200 OK", "Connection: close\r\n", "fine"));
     assert!(asks.join().unwrap().ends_with("fine"));
 }
 
@@ -176,14 +180,14 @@
         let (one, other) = (backend(), backend());
         let proxy = Proxy::start_with(&[&one, &other], 1024, &settings(5000, "").replace(PUSHED, mode));
         let mut old = accept(&proxy.discovery);
-        message(&mut old);
+        read_message(&mut old);
         let agent = backend();
-        proxy.move_to(&agent);
+        proxy.switch_agent(&agent);
         let mut new = accept(&agent);
-        assert!(message(&mut new).starts_with("GET /v1/endpoints HTTP"), "{mode}");
+        assert!(read_message(&mut new).starts_with("GET /v1/endpoints HTTP"), "{mode}");
         assert_eq!(old.read(&mut [0]).unwrap(), 0, "{mode}: the old call is given up");
         write(&mut new, &whole(9, &one));
-        assert!(message(&mut new).starts_with("GET /v1/endpoints?index=9&"), "{mode}");
-        assert_eq!(counted(&proxy, "lists"), 1, "{mode}");
+        assert!(read_message(&mut new).starts_with("GET /v1/endpoints?index=9&"), "{mode}");
+        assert_eq!(counter(&proxy, "lists"), 1, "{mode}");
     }
 }
