--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -67,6 +67,7 @@
     pub start_by: Option<Time>,
 }
 
+/// The listed backends and the connections to them.
 pub struct Pool {
     backends: BTreeMap<BackendId, PooledBackend>,
     conns: Slots<ConnTag, Conn>,
@@ -152,7 +153,7 @@
         for BackendEntry { host, address, listed_start, listing } in entries {
             let process = BackendProcess { address: *address, started: listing.started };
             let entry = self.backends.entry(listing.backend).or_insert_with(|| {
-                tracing::info!(host, dial = %address, "listed");
+                tracing::info!(host, dial = %address, "backend listed");
                 let (idle_conns, connect_history) = Default::default();
                 PooledBackend {
                     host: host.clone(),
@@ -277,7 +278,7 @@
         let until = io.now + self.connect_timeout.timeout_for(&history);
         conn.set_connect_deadline(slot, Some(until), io);
         io.counters.connections_opened += 1;
-        tracing::trace!(host = self.host_of(slot), "dialled");
+        tracing::trace!(host = self.host_of(slot), "connecting to backend");
     }
 
     /// Handles a connect call that failed. Retries it where the cause may pass, as nothing has been sent yet.
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -194,7 +194,8 @@
     HandoverMessage(HandoverMessage),
 }
 
-/// The part of the proxy and the connection that an event of the operating system belongs to.
+/// The part of the proxy or the connection that an event of the operating system belongs to. Log lines show
+/// the variants by `Debug`, so their names are fixed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Owner {
     Listener,
