--- a/crates/lab/tests/parts.rs
+++ b/crates/lab/tests/parts.rs
@@ -69,7 +69,7 @@
     let with = |more: &str| calm() + more;
     let cases = [
         (calm().replace("cores = 2", "coers = 2"), "x.toml:10: unknown field `coers`"),
-        (calm().replace("\"20ms\"", "\"20 miles\""), "x.toml:11: \"20 miles\" is no span"),
+        (calm().replace("\"20ms\"", "\"20 miles\""), "x.toml:11: \"20 miles\" is not a time span"),
         (calm().replace("rate = 130", ""), "x.toml: [load]: wanted one of rate and closed"),
         (
             calm().replace("backends = 4", "backends = 0"),
--- a/crates/setup/src/fleet.rs
+++ b/crates/setup/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `[fleet]` of the project's own form: the proxies that find each other.
+//! The `[fleet]` table of the project's own configuration format: proxies that discover each other.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,20 @@
 
 use crate::native::{parse_span, Checker};
 
-/// What a proxy is told of its fleet.
+/// How a proxy takes part in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSetup {
-    /// Of all its members the same; others' messages are passed over.
+    /// Shared by all members; messages that carry another fleet's name are ignored.
     pub name: String,
-    /// Where it listens, UDP.
+    /// The UDP address that it listens on.
     pub address: SocketAddr,
-    /// What others are told.
+    /// The address that it advertises to other members.
     pub advertise: SocketAddr,
-    /// Some members to begin with.
+    /// Members that it contacts first to join.
     pub seeds: Vec<SocketAddr>,
-    /// How many proxies there usually are, if staff say.
+    /// How many proxies there usually are, if operators configure it.
     pub expected: Option<usize>,
-    /// What only one of them does at a time, if anything.
+    /// Duties, each held by only one member at a time, if any are configured.
     pub duties: Option<DutiesSetup>,
 }
 
@@ -29,13 +29,14 @@
 pub struct DutiesSetup {
     pub names: Vec<String>,
     pub lease: Span,
-    /// Members that vote, by the addresses that they tell others: one set, or two while staff change from one to the other.
+    /// The sets of voters, by their advertised addresses: one set, or two while operators change from one to
+    /// the other.
     pub voters: Vec<Vec<SocketAddr>>,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub(crate) struct FleetText {
+pub(crate) struct RawFleet {
     name: Option<Spanned<String>>,
     address: Option<Spanned<String>>,
     advertise: Option<Spanned<String>>,
@@ -47,127 +48,143 @@
     voters_before: Vec<Spanned<String>>,
 }
 
-const NAME_MOST: usize = 64;
-const DUTIES_MOST: usize = 1024;
+const MAX_NAME_BYTES: usize = 64;
+const MAX_DUTIES: usize = 1024;
 
-/// Whether nobody can send to it.
-fn open(address: &SocketAddr) -> bool {
+/// Whether an address cannot be sent to.
+fn is_unroutable(address: &SocketAddr) -> bool {
     address.ip().is_unspecified() || address.port() == 0
 }
 
-/// A name that fits into a message.
-fn word(text: &str) -> Result<String, String> {
-    let fits = !text.is_empty() && text.len() <= NAME_MOST && !text.contains(char::is_whitespace);
-    fits.then(|| text.to_string())
-        .ok_or_else(|| format!("{text:?}: wanted a word of at most {NAME_MOST} bytes"))
+/// Accepts a name that fits into a fleet message.
+fn message_name(text: &str) -> Result<String, String> {
+    let is_valid = !text.is_empty() && text.len() <= MAX_NAME_BYTES && !text.contains(char::is_whitespace);
+    is_valid
+        .then(|| text.to_string())
+        .ok_or_else(|| format!("{text:?}: wanted a name without spaces of at most {MAX_NAME_BYTES} bytes"))
 }
 
 impl Checker<'_> {
-    /// `name` is the proxy's own; `peers`: whether `[tier] peers` stand beside it.
+    /// `name` is the proxy's own; `peers` is the position of `tier.peers` if set, which a fleet excludes.
     pub(crate) fn fleet(
         &mut self,
-        found: &Spanned<FleetText>,
+        fleet: &Spanned<RawFleet>,
         name: Option<&Spanned<String>>,
         peers: Option<usize>,
     ) -> Option<FleetSetup> {
-        let (at, text) = (found.span().start, found.get_ref());
-        if text.name.is_none() {
-            self.fault(at, "fleet.name: missing; wanted a word that all its members have");
+        let (offset, raw) = (fleet.span().start, fleet.get_ref());
+        if raw.name.is_none() {
+            self.report(offset, "fleet.name: missing; wanted a name that all its members share");
         }
         match name {
-            None => self
-                .fault(at, "fleet: wanted a name of the proxy's own: name = \"...\" at the head of the file"),
-            Some(own) => {
-                if let Err(why) = word(own.get_ref()) {
-                    self.fault(own.span().start, format!("name: {why}, to be told to the fleet"));
+            None => self.report(
+                offset,
+                "fleet: wanted a name of the proxy's own: name = \"...\" at the head of the file",
+            ),
+            Some(name) => {
+                if let Err(why) = message_name(name.get_ref()) {
+                    self.report(name.span().start, format!("name: {why}, because fleet messages carry it"));
                 }
             }
         }
-        if let Some(at) = peers {
-            self.fault(at, "tier.peers: the members of a [fleet] find each other; wanted one of the two");
+        if let Some(offset) = peers {
+            self.report(
+                offset,
+                "tier.peers: the members of a [fleet] find each other; wanted one of the two",
+            );
         }
-        let fleet = self.value("fleet.name", &text.name, |name| word(name));
-        let address = self.address("fleet.address", &text.address, at);
-        let advertise = match &text.advertise {
+        let fleet_name = self.value("fleet.name", &raw.name, |name| message_name(name));
+        let address = self.address("fleet.address", &raw.address, offset);
+        let advertise = match &raw.advertise {
             None => {
-                if let (Some(_), Some(found)) = (address.filter(open), &text.address) {
+                if let (Some(_), Some(address)) = (address.filter(is_unroutable), &raw.address) {
                     let wanted = "wanted an address that others can send to, or advertise beside it";
-                    self.fault(found.span().start, format!("fleet.address: {:?}: {wanted}", found.get_ref()));
+                    self.report(
+                        address.span().start,
+                        format!("fleet.address: {:?}: {wanted}", address.get_ref()),
+                    );
                 }
                 address
             }
-            Some(found) => {
-                let advertise = self.address("fleet.advertise", &text.advertise, at);
-                if advertise.as_ref().is_some_and(open) {
+            Some(address) => {
+                let advertise = self.address("fleet.advertise", &raw.advertise, offset);
+                if advertise.as_ref().is_some_and(is_unroutable) {
                     let why = format!(
                         "fleet.advertise: {:?}: wanted an address that others can send to",
-                        found.get_ref()
+                        address.get_ref()
                     );
-                    self.fault(found.span().start, why);
+                    self.report(address.span().start, why);
                 }
                 advertise
             }
         };
-        let seeds = self.members_named("fleet.seeds", &text.seeds);
-        let duties = self.duties(text, &seeds);
-        let expected = self.whole("fleet.expected", &text.expected, (1, 4096), 1);
-        let expected = text.expected.as_ref().map(|_| expected);
-        Some(FleetSetup { name: fleet?, address: address?, advertise: advertise?, seeds, expected, duties })
+        let seeds = self.member_addresses("fleet.seeds", &raw.seeds);
+        let duties = self.duties(raw, &seeds);
+        let expected = self.integer("fleet.expected", &raw.expected, (1, 4096), 1);
+        let expected = raw.expected.as_ref().map(|_| expected);
+        Some(FleetSetup {
+            name: fleet_name?,
+            address: address?,
+            advertise: advertise?,
+            seeds,
+            expected,
+            duties,
+        })
     }
 
-    /// Addresses of members, each once.
-    fn members_named(&mut self, field: &str, found: &[Spanned<String>]) -> Vec<SocketAddr> {
-        let mut all = Vec::new();
-        for one in found {
-            let (at, text) = (one.span().start, one.get_ref());
+    /// Addresses of members, each listed once.
+    fn member_addresses(&mut self, field: &str, addresses: &[Spanned<String>]) -> Vec<SocketAddr> {
+        let mut members = Vec::new();
+        for address in addresses {
+            let (offset, text) = (address.span().start, address.get_ref());
             match text.parse::<SocketAddr>() {
-                Ok(member) if open(&member) || all.contains(&member) => {
+                Ok(member) if is_unroutable(&member) || members.contains(&member) => {
                     let why = format!("{field}: {text:?}: wanted an address that others can send to, once");
-                    self.fault(at, why);
+                    self.report(offset, why);
                 }
-                Ok(member) => all.push(member),
+                Ok(member) => members.push(member),
                 Err(_) => {
                     let wanted = "wanted an address and a port, such as \"127.0.0.1:7101\"";
-                    self.fault(at, format!("{field}: {text:?}: {wanted}"));
+                    self.report(offset, format!("{field}: {text:?}: {wanted}"));
                 }
             }
         }
-        all
+        members
     }
 
-    fn duties(&mut self, text: &FleetText, seeds: &[SocketAddr]) -> Option<DutiesSetup> {
+    fn duties(&mut self, raw: &RawFleet, seeds: &[SocketAddr]) -> Option<DutiesSetup> {
         let mut names: Vec<String> = Vec::new();
-        for one in &text.duties {
-            let (at, name) = (one.span().start, one.get_ref());
-            match word(name) {
+        for duty in &raw.duties {
+            let (offset, name) = (duty.span().start, duty.get_ref());
+            match message_name(name) {
                 Ok(name) if names.contains(&name) => {
-                    self.fault(at, format!("fleet.duties: {name:?}: wanted each once"));
+                    self.report(offset, format!("fleet.duties: {name:?}: wanted each once"));
                 }
-                Ok(name) if names.len() < DUTIES_MOST => names.push(name),
-                Ok(_) => self.fault(at, format!("fleet.duties: wanted at most {DUTIES_MOST}")),
-                Err(why) => self.fault(at, format!("fleet.duties: {why}")),
+                Ok(name) if names.len() < MAX_DUTIES => names.push(name),
+                Ok(_) => self.report(offset, format!("fleet.duties: wanted at most {MAX_DUTIES}")),
+                Err(why) => self.report(offset, format!("fleet.duties: {why}")),
             }
         }
-        let lease = self.value("fleet.lease", &text.lease, |text| {
+        let lease = self.value("fleet.lease", &raw.lease, |text| {
             let lease = parse_span(text)?;
-            let fits = (Span::from_millis(200)..=Span::from_millis(60_000)).contains(&lease);
-            fits.then_some(lease).ok_or_else(|| format!("{text:?}: wanted a span from 200ms to 60s"))
+            let is_valid = (Span::from_millis(200)..=Span::from_millis(60_000)).contains(&lease);
+            is_valid.then_some(lease).ok_or_else(|| format!("{text:?}: wanted a span from 200ms to 60s"))
         });
         let lease = lease.unwrap_or(Span::from_millis(1_500));
-        let voters = self.members_named("fleet.voters", &text.voters);
-        let before = self.members_named("fleet.voters_before", &text.voters_before);
-        if let (Some(first), true) = (text.voters_before.first(), voters.is_empty()) {
-            self.fault(first.span().start, "fleet.voters_before: wanted voters beside it, which come after");
+        let voters = self.member_addresses("fleet.voters", &raw.voters);
+        let voters_before = self.member_addresses("fleet.voters_before", &raw.voters_before);
+        if let (Some(first), true) = (raw.voters_before.first(), voters.is_empty()) {
+            self.report(first.span().start, "fleet.voters_before: wanted voters beside it, which come after");
         }
-        let first = text.duties.first()?;
+        let first_duty = raw.duties.first()?;
         let voters = if voters.is_empty() { seeds.to_vec() } else { voters };
         if voters.is_empty() {
-            self.fault(
-                first.span().start,
+            self.report(
+                first_duty.span().start,
                 "fleet.duties: wanted voters, or seeds, of which a majority grants them",
             );
         }
-        let sets = [voters, before].into_iter().filter(|set| !set.is_empty()).collect();
-        Some(DutiesSetup { names, lease, voters: sets })
+        let voter_sets = [voters, voters_before].into_iter().filter(|set| !set.is_empty()).collect();
+        Some(DutiesSetup { names, lease, voters: voter_sets })
     }
 }
--- a/crates/setup/src/lib.rs
+++ b/crates/setup/src/lib.rs
@@ -1,5 +1,6 @@
-//! The settings text of an instance, decoded into what the decisions read, and what the adapters need of it
-//! besides. The outside's words end here: each adapter takes the decisions' own words from this package.
+//! Decodes the configuration of an instance into the settings of the decision module and what the adapters
+//! around it need. Outer names of configuration fields occur only in this crate: the adapters use the decision
+//! module's own terms.
 
 pub mod fleet;
 pub mod native;
@@ -12,36 +13,39 @@
 use sparlug::settings::{Class, Effect, Group, Settings, SlowStart};
 use sparlug::time::Span;
 
-/// Where in a load report the figures stand that the decisions read.
+/// The positions of the values that the decision module reads in a load report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadColumns {
     pub in_flight: Option<usize>,
     pub queued: Option<usize>,
 }
 
-/// An instance's settings: what the decisions read, and what only its adapter does.
+/// The configuration of an instance: the settings of its decision module, and what only its adapter reads.
 #[derive(Debug)]
 pub struct Setup {
     pub settings: Settings,
     pub load_columns: LoadColumns,
-    /// In the order of the settings' classes, tenants and zones.
+    /// In the order of the classes in `settings`.
     pub class_names: Vec<String>,
+    /// In the order of the tenants in `settings`.
     pub tenant_names: Vec<String>,
+    /// Ordered by the zones' ids.
     pub zone_names: Vec<String>,
-    /// Where the proxies of the tier hear each other, by their numbers.
+    /// The addresses of all proxies of the tier for messages between peers, ordered by ordinal.
     pub peer_addresses: Vec<SocketAddr>,
-    /// The fleet that it is a member of, if it is one; never on the platform.
+    /// The fleet that the proxy is a member of, if any; never set by the platform's JSON settings.
     pub fleet: Option<fleet::FleetSetup>,
-    /// A connection that is not up by then counts as failed.
+    /// A connection that is not established within this time counts as failed.
     pub connect_timeout: Span,
-    /// A backend closes a connection that stood idle for so long.
+    /// How long a backend keeps an idle connection before it closes it.
     pub backend_idle_timeout: Span,
 }
 
-/// A load report whose figures bear their names, as on the wire or as on sockets.
-pub fn load_from_named_values<'a>(figures: impl Iterator<Item = (&'a str, f64)>) -> Load {
+/// Builds a load report from named values, under the names of the platform's columns or of the HTTP header.
+/// Negative values and those that are not finite are ignored.
+pub fn load_from_named_values<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> Load {
     let mut load = Load::default();
-    for (name, value) in figures.filter(|(_, value)| value.is_finite() && *value >= 0.0) {
+    for (name, value) in values.filter(|(_, value)| value.is_finite() && *value >= 0.0) {
         match name {
             "busy_reqs" | "inflight" => load.in_flight = Some(value),
             "pending" | "queue" => load.queued = Some(value),
@@ -53,7 +57,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Text {
+struct RawSettings {
     tier: usize,
     balancers: usize,
     #[serde(default)]
@@ -63,17 +67,17 @@
     round_ms: f64,
     discovery: Discovery,
     #[serde(rename = "tariffs")]
-    classes: Vec<SetupClass>,
+    classes: Vec<RawClass>,
     #[serde(default)]
     tenants: Vec<Tenant>,
-    #[serde(default = "one")]
+    #[serde(default = "default_over_quota_value")]
     beyond_share_value: f64,
     allowed: Allowed,
     obligations: Obligations,
     #[serde(default)]
     penalties: Penalties,
     #[serde(default)]
-    report: Report,
+    report: LoadReport,
     #[serde(default)]
     zones: Vec<String>,
     #[serde(default)]
@@ -98,7 +102,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct SetupClass {
+struct RawClass {
     #[serde(default)]
     name: String,
     #[serde(rename = "latencyGoalMs")]
@@ -110,14 +114,14 @@
     value: f64,
     #[serde(default)]
     late_value: f64,
-    effect: SetupEffect,
-    group: Option<SetupGroup>,
+    effect: RawEffect,
+    group: Option<RawGroup>,
     window_ms: Option<f64>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum SetupEffect {
+enum RawEffect {
     Pure,
     Token,
     SideEffect,
@@ -125,7 +129,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum SetupGroup {
+enum RawGroup {
     All,
     Zone,
     Cell,
@@ -142,9 +146,9 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Allowed {
-    #[serde(default = "minute")]
+    #[serde(default = "default_idle_ms")]
     conn_idle_ms: f64,
-    #[serde(default = "second")]
+    #[serde(default = "default_dial_timeout_ms")]
     dial_timeout_ms: f64,
     #[serde(rename = "maxForwards")]
     max_attempts: u16,
@@ -184,7 +188,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum How {
+enum ReportMethod {
     Answers,
     Probe,
     #[default]
@@ -192,35 +196,35 @@
 }
 
 #[derive(Default, Deserialize)]
-struct Report {
+struct LoadReport {
     #[serde(default)]
-    how: How,
+    how: ReportMethod,
     #[serde(default)]
     columns: Vec<String>,
 }
 
-fn one() -> f64 {
+fn default_over_quota_value() -> f64 {
     1.0
 }
 
-fn second() -> f64 {
+fn default_dial_timeout_ms() -> f64 {
     1000.0
 }
 
-fn minute() -> f64 {
+fn default_idle_ms() -> f64 {
     60_000.0
 }
 
-impl SetupClass {
+impl RawClass {
     fn decode(self) -> Result<Class, String> {
         let effect = match self.effect {
-            SetupEffect::Pure => Effect::Safe,
-            SetupEffect::SideEffect => Effect::AtMostOnce,
-            SetupEffect::Token => Effect::Keyed {
+            RawEffect::Pure => Effect::Safe,
+            RawEffect::SideEffect => Effect::AtMostOnce,
+            RawEffect::Token => Effect::Keyed {
                 group: match self.group.ok_or("a tariff with effect token lacks group")? {
-                    SetupGroup::All => Group::All,
-                    SetupGroup::Zone => Group::Zone,
-                    SetupGroup::Cell => Group::Pod,
+                    RawGroup::All => Group::All,
+                    RawGroup::Zone => Group::Zone,
+                    RawGroup::Cell => Group::Pod,
                 },
                 window: Span::from_ms(self.window_ms.ok_or("a tariff with effect token lacks windowMs")?),
             },
@@ -236,56 +240,63 @@
     }
 }
 
+/// Decodes the settings of an instance from the platform's JSON.
 pub fn decode(text: &[u8]) -> Result<Setup, String> {
-    let setup: Text = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
-    let place = |name: &str| setup.report.columns.iter().position(|column| column == name);
-    let columns = LoadColumns { in_flight: place("busy_reqs"), queued: place("pending") };
-    let answers = matches!(setup.report.how, How::Answers);
-    let asked = answers && setup.allowed.probes && columns.in_flight.or(columns.queued).is_some();
-    let class_names = setup.classes.iter().map(|class| class.name.clone()).collect();
-    let tenant_names = setup.tenants.iter().map(|tenant| tenant.name.clone()).collect();
-    let (dial, idle) = (setup.allowed.dial_timeout_ms, setup.allowed.conn_idle_ms);
-    let classes = setup.classes.into_iter().map(SetupClass::decode).collect::<Result<_, _>>();
+    let raw: RawSettings = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
+    let column = |name: &str| raw.report.columns.iter().position(|column| column == name);
+    let load_columns = LoadColumns { in_flight: column("busy_reqs"), queued: column("pending") };
+    let in_responses = matches!(raw.report.how, ReportMethod::Answers);
+    let pollable =
+        in_responses && raw.allowed.probes && load_columns.in_flight.or(load_columns.queued).is_some();
+    let class_names = raw.classes.iter().map(|class| class.name.clone()).collect();
+    let tenant_names = raw.tenants.iter().map(|tenant| tenant.name.clone()).collect();
+    let (dial_timeout_ms, conn_idle_ms) = (raw.allowed.dial_timeout_ms, raw.allowed.conn_idle_ms);
+    let classes = raw.classes.into_iter().map(RawClass::decode).collect::<Result<_, _>>();
     let settings = Settings {
-        tier: setup.tier,
-        instances: setup.balancers.max(1),
-        ordinal: setup.ordinal,
-        zone: ZoneId(setup.locality),
-        cross_zone_priced: setup.penalties.cross_zone > 0.0,
-        report_price: asked.then_some(setup.penalties.probe),
-        batch_interval: Span::from_ms(setup.round_ms),
+        tier: raw.tier,
+        instances: raw.balancers.max(1),
+        ordinal: raw.ordinal,
+        zone: ZoneId(raw.locality),
+        cross_zone_priced: raw.penalties.cross_zone > 0.0,
+        report_price: pollable.then_some(raw.penalties.probe),
+        batch_interval: Span::from_ms(raw.round_ms),
         classes: classes.map_err(|e| format!("settings: {e}"))?,
-        tenant_quotas: setup.tenants.iter().map(|tenant| tenant.allowance_per_s).collect(),
-        over_quota_value: setup.beyond_share_value,
-        list_on_request: matches!(setup.discovery, Discovery::OnRequest),
-        max_attempts: setup.allowed.max_attempts,
-        full_may_have_run: setup.obligations.shed_after_start,
-        only_draining_excludes: setup.obligations.drain_binds_alone,
-        cancellation: setup.allowed.cancelling,
-        key_affinity: setup.family_info.warm_keys,
-        peer_messages: setup.allowed.peers,
-        max_backoff: setup.allowed.retry_after.then(|| Span::from_ms(setup.allowed.max_retry_after_ms)),
+        tenant_quotas: raw.tenants.iter().map(|tenant| tenant.allowance_per_s).collect(),
+        over_quota_value: raw.beyond_share_value,
+        list_on_request: matches!(raw.discovery, Discovery::OnRequest),
+        max_attempts: raw.allowed.max_attempts,
+        full_may_have_run: raw.obligations.shed_after_start,
+        only_draining_excludes: raw.obligations.drain_binds_alone,
+        cancellation: raw.allowed.cancelling,
+        key_affinity: raw.family_info.warm_keys,
+        peer_messages: raw.allowed.peers,
+        max_backoff: raw.allowed.retry_after.then(|| Span::from_ms(raw.allowed.max_retry_after_ms)),
         slow_start: SlowStart {
-            initial_share: setup.obligations.cold_share,
-            ramp: Span::from_ms(setup.obligations.ramp_time_ms),
-            overload_ratio: setup.obligations.fall_multiple,
-            overload_window: Span::from_ms(setup.obligations.tip_after_ms),
+            initial_share: raw.obligations.cold_share,
+            ramp: Span::from_ms(raw.obligations.ramp_time_ms),
+            overload_ratio: raw.obligations.fall_multiple,
+            overload_window: Span::from_ms(raw.obligations.tip_after_ms),
         },
     };
-    let (dial, idle) = (Span::from_ms(dial), Span::from_ms(idle));
-    let (zone_names, peers) = (setup.zones, setup.peer_addresses);
-    if !peers.is_empty() && peers.len() != settings.instances {
-        return Err(format!("settings: {} peerAddresses for {} balancers", peers.len(), settings.instances));
+    let (connect_timeout, backend_idle_timeout) =
+        (Span::from_ms(dial_timeout_ms), Span::from_ms(conn_idle_ms));
+    let (zone_names, peer_addresses) = (raw.zones, raw.peer_addresses);
+    if !peer_addresses.is_empty() && peer_addresses.len() != settings.instances {
+        return Err(format!(
+            "settings: {} peerAddresses for {} balancers",
+            peer_addresses.len(),
+            settings.instances
+        ));
     }
     Ok(Setup {
         settings,
-        load_columns: columns,
+        load_columns,
         class_names,
         tenant_names,
         zone_names,
-        peer_addresses: peers,
+        peer_addresses,
         fleet: None,
-        connect_timeout: dial,
-        backend_idle_timeout: idle,
+        connect_timeout,
+        backend_idle_timeout,
     })
 }
--- a/crates/setup/tests/native.rs
+++ b/crates/setup/tests/native.rs
@@ -1,10 +1,10 @@
-//! The project's own configuration: what it means, and that all its faults are told with their lines.
+//! Decoding the project's own TOML configuration: its defaults, and its errors, each with its line.
 
 use sparlug::settings::{Effect, Group};
 use sparlug::time::Span;
 use sparlug_setup::native::{decode, BackendSource, LogFormat};
 
-const SMALL: &str = r#"name = "n1"
+const MINIMAL: &str = r#"name = "n1"
 
 [[listener]]
 address = "127.0.0.1:8080"
@@ -18,14 +18,14 @@
 effect = "reissuable"
 "#;
 
-fn faults(text: &str) -> Vec<String> {
-    let faults = decode(text).map(|_| ()).unwrap_err();
-    faults.iter().map(|fault| fault.to_string()).collect()
+fn diagnostics(text: &str) -> Vec<String> {
+    let diagnostics = decode(text).map(|_| ()).unwrap_err();
+    diagnostics.iter().map(|diagnostic| diagnostic.to_string()).collect()
 }
 
 #[test]
-fn a_small_configuration_has_defaults_for_the_rest() {
-    let found = decode(SMALL).unwrap_or_else(|faults| panic!("{faults:?}"));
+fn minimal_configuration_uses_defaults() {
+    let found = decode(MINIMAL).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
     assert_eq!(found.backend_source, BackendSource::Agent("127.0.0.1:8500".parse().unwrap()));
     assert_eq!((found.sockets, found.memory_mb, found.log_format), (1024, 192, LogFormat::Text));
     assert_eq!(found.setup.class_names, ["check-free"]);
@@ -36,44 +36,47 @@
 }
 
 #[test]
-fn a_list_of_backends_and_keyed_classes_are_read() {
-    let text = SMALL.replace("agent = \"127.0.0.1:8500\"", "")
+fn decodes_static_backends_and_keyed_classes() {
+    let text = MINIMAL.replace("agent = \"127.0.0.1:8500\"", "")
         + "effect_of = 1\n[[discovery.backend]]\nname = \"s-1\"\naddress = \"127.0.0.2:80\"\nzone = \"b\"\nsize = 2.0\n\
            [tier]\nzones = [\"a\", \"b\"]\nzone = \"b\"\n[tariff.mark]\ngoal = \"1s\"\ncut_off = \"2s\"\n\
            effect = \"numbered\"\ngroup = \"pod\"\nwindow = \"3s\"\n";
-    assert_eq!(faults(&text).len(), 1, "{:?}", faults(&text));
-    let found = decode(&text.replace("effect_of = 1\n", "")).unwrap_or_else(|faults| panic!("{faults:?}"));
-    let BackendSource::Static(backends) = &found.backend_source else { panic!("an agent") };
+    assert_eq!(diagnostics(&text).len(), 1, "{:?}", diagnostics(&text));
+    let found =
+        decode(&text.replace("effect_of = 1\n", "")).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
+    let BackendSource::Static(backends) = &found.backend_source else {
+        panic!("agent instead of static backends")
+    };
     assert_eq!((backends[0].name.as_str(), backends[0].zone, backends[0].size), ("s-1", Some(1), 2.0));
     let window = Span::from_millis(3000);
     assert_eq!(found.setup.settings.classes[1].effect, Effect::Keyed { group: Group::Pod, window });
 }
 
 #[test]
-fn each_fault_is_told_with_its_line_and_what_would_be_right() {
-    let with = |more: &str| SMALL.to_string() + more;
+fn each_error_has_its_line_and_what_was_expected() {
+    let with = |more: &str| MINIMAL.to_string() + more;
     let cases = [
-        (SMALL.replace("name", "nmae"), "1: unknown field `nmae`"),
+        (MINIMAL.replace("name", "nmae"), "1: unknown field `nmae`"),
         (
-            SMALL.replace("127.0.0.1:8080", "127.0.0.1"),
+            MINIMAL.replace("127.0.0.1:8080", "127.0.0.1"),
             "4: listener.address: \"127.0.0.1\": wanted an address and a port",
         ),
-        (SMALL.replace("210ms", "900ms"), "9: tariff.check-free.goal: is longer than the cut-off"),
-        (SMALL.replace("530ms", "530"), "11: tariff.check-free.cut_off: \"530\" is no span"),
+        (MINIMAL.replace("210ms", "900ms"), "9: tariff.check-free.goal: is longer than the cut-off"),
+        (MINIMAL.replace("530ms", "530"), "11: tariff.check-free.cut_off: \"530\" is not a time span"),
         (
-            SMALL.replace("reissuable", "safe"),
+            MINIMAL.replace("reissuable", "safe"),
             "12: tariff.check-free.effect: \"safe\": wanted reissuable, numbered or at-most-once",
         ),
         (
-            SMALL.replace("reissuable", "numbered"),
-            "9: tariff.check-free: a numbered effect wants group and window",
+            MINIMAL.replace("reissuable", "numbered"),
+            "9: tariff.check-free: a numbered effect needs group and window",
         ),
-        (SMALL.replace("effect = \"reissuable\"", ""), "9: tariff.check-free.effect: missing"),
+        (MINIMAL.replace("effect = \"reissuable\"", ""), "9: tariff.check-free.effect: missing"),
         (
-            SMALL.replace("agent = ", "# "),
+            MINIMAL.replace("agent = ", "# "),
             "6: discovery: wanted an agent or at least one [[discovery.backend]]",
         ),
-        (SMALL.replace("[[listener]]\naddress = \"127.0.0.1:8080\"", ""), "1: listener: missing"),
+        (MINIMAL.replace("[[listener]]\naddress = \"127.0.0.1:8080\"", ""), "1: listener: missing"),
         (with("[limits]\nsockets = 3\n"), "14: limits.sockets: 3: wanted a whole number from 64"),
         (with("[backends]\ncold_share = 7.0\n"), "14: backends.cold_share: 7: wanted a number from"),
         (with("[tier]\nzone = \"x\"\n"), "14: tier.zone: \"x\": wanted one of tier.zones: local"),
@@ -87,7 +90,7 @@
         ),
         (
             with("[tier]\nproxies = 2\npeers = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\n"),
-            "15: tier.peers: \"127.0.0.1:1\" is there twice",
+            "15: tier.peers: \"127.0.0.1:1\" is listed twice",
         ),
         (
             with("[tier]\npeers = [\"127.0.0.1:0\"]\n"),
@@ -95,39 +98,39 @@
         ),
         (with("[backends]\nremember_keys = 1\n"), "14: "),
         (with("[log]\nformat = \"xml\"\n"), "14: log.format: \"xml\": wanted text or json"),
-        ("name = \"x\" =\n".to_string() + SMALL, "1: "),
+        ("name = \"x\" =\n".to_string() + MINIMAL, "1: "),
     ];
     for (text, wanted) in cases {
-        let found = faults(&text);
-        assert!(found.iter().any(|fault| fault.starts_with(wanted)), "{found:?} lacks {wanted:?}");
+        let found = diagnostics(&text);
+        assert!(found.iter().any(|diagnostic| diagnostic.starts_with(wanted)), "{found:?} lacks {wanted:?}");
     }
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
-    let text = SMALL
+fn reports_all_errors_at_once() {
+    let text = MINIMAL
         .replace("name", "nmae")
         .replace("210ms", "x")
         .replace("8080", "port")
         .replace("reissuable", "no")
         + "[limit]\nsockets = 1\n[backends]\nidle = 4\n";
-    let found = faults(&text);
-    let lines: Vec<&str> = found.iter().filter_map(|fault| fault.split(':').next()).collect();
+    let found = diagnostics(&text);
+    let lines: Vec<&str> = found.iter().filter_map(|diagnostic| diagnostic.split(':').next()).collect();
     assert_eq!(lines, ["1", "4", "10", "12", "13", "16"], "{found:#?}");
 }
 
 #[test]
-fn keys_and_peers_are_off_unless_they_are_set() {
-    let found = decode(SMALL).unwrap_or_else(|faults| panic!("{faults:?}"));
+fn key_affinity_and_peer_messages_are_off_by_default() {
+    let found = decode(MINIMAL).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
     let settings = &found.setup.settings;
     assert_eq!(
         (settings.key_affinity, settings.peer_messages, found.setup.peer_addresses.len()),
         (false, false, 0)
     );
-    let text = SMALL.to_string()
+    let text = MINIMAL.to_string()
         + "[tier]\nproxies = 2\nordinal = 1\npeers = [\"127.0.0.1:9601\", \"127.0.0.1:9602\"]\n\
            [backends]\nremember_keys = true\n";
-    let found = decode(&text).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let found = decode(&text).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
     let settings = &found.setup.settings;
     assert_eq!(
         (settings.key_affinity, settings.peer_messages, found.setup.peer_addresses.len()),
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn the_platforms_form_says_as_much() {
+fn platform_json_sets_key_affinity_and_peers() {
     let base = r#"{"tier":0,"balancers":2,"roundMs":1.0,"discovery":"pushed","tariffs":[],
         "allowed":{"maxForwards":2},"obligations":
         {"coldShare":0.3,"rampTimeMs":8000,"fallMultiple":3,"tipAfterMs":3000}"#;
