--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! What the proxy is told at its start: a file holds all, in the platform's JSON or in the project's own TOML.
+//! The proxy's configuration: one file, in the platform's JSON or in the project's own TOML.
 
 use std::fmt;
 use std::io;
@@ -22,23 +22,24 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// The agent; without one the list in the file is all there is.
+    /// The discovery agent; without one, the list in the file is the only source of backends.
     pub discovery: Option<SocketAddr>,
-    /// Where operators call; without it they have nowhere to.
+    /// The address of the management endpoint; without one there is no endpoint.
     pub management: Option<SocketAddr>,
     pub seed: u64,
     pub budgets: Budgets,
-    /// While another process lives beside it as the same proxy.
+    /// The budgets during an upgrade, while the old and the new process both run.
     pub overlap_budgets: Budgets,
-    /// The list of backends as it was last had.
+    /// The list of backends to start with.
     pub initial_list: Option<BackendList>,
     pub setup: Setup,
     pub immutable: ImmutableSettings,
+    /// The filter of the log.
     pub log: Option<String>,
     pub log_format: LogFormat,
 }
 
-/// Where a configuration is read, also when it is read anew.
+/// Where the configuration is read from, also on a reload.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigSource {
     /// The file that `ROUTER_CONFIG` names.
@@ -46,7 +47,7 @@
     File(PathBuf),
 }
 
-/// What of a configuration can't change while the program runs.
+/// The part of a configuration that cannot change without a restart.
 #[derive(Debug, PartialEq)]
 pub struct ImmutableSettings {
     name: String,
@@ -55,7 +56,7 @@
 }
 
 #[derive(Deserialize)]
-struct Text<'a> {
+struct RawConfig<'a> {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -82,46 +83,53 @@
     }
 }
 
-pub const RESERVED_SOCKETS: usize = 16; // for the log, the loop, signals, the listener and discovery
-const OPERATORS_SOCKETS: usize = MAX_ADMIN_CONNECTIONS + 4; // where operators may call, for them and a handover besides
-const OWN_MB: usize = 6; // for the program itself
-const LEAST: usize = 6; // connections on either side, and messages, to serve at all
+/// Sockets for the log, the event loop, signals, the listener and discovery.
+pub const RESERVED_SOCKETS: usize = 16;
+/// Sockets for the management endpoint, its connections and a handover, where management is configured.
+const MANAGEMENT_SOCKETS: usize = MAX_ADMIN_CONNECTIONS + 4;
+const RESERVED_MB: usize = 6; // for the program itself
+/// The fewest connections to either side, and buffered messages, with which the proxy can serve.
+const MIN_BUDGET: usize = 6;
 
-/// How many connections are kept of each kind.
+/// Limits of connections and memory.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budgets {
-    /// From callers; an eighth more are accepted, and closed after their next answer.
+    /// Connections from clients. One eighth more are accepted, and closed after their next response.
     pub clients: usize,
-    /// To backends at the least; what callers leave free comes on top.
+    /// Connections to backends that are always available; those that clients don't use come on top.
     pub backends: usize,
-    /// Of both kinds together.
+    /// Connections to clients and backends together.
     pub total: usize,
-    /// To backends that may stand idle.
+    /// Idle connections to backends.
     pub idle: usize,
-    /// Bytes of requests that are held, and again of requests that are not whole yet.
+    /// Bytes of pending requests; and as many again of requests that are still being received.
     pub buffer_bytes: usize,
 }
 
 impl Limits {
-    /// The budgets, and half of them; all of them twice where a half is too little to serve.
-    fn both(self, management: bool) -> Result<(Budgets, Budgets), String> {
+    /// The budgets of a single process and those of one of two processes during an upgrade, from half the
+    /// limits. Both are the full budgets if half is too little to serve.
+    fn single_and_overlap_budgets(self, management: bool) -> Result<(Budgets, Budgets), String> {
         let half = Limits { sockets: self.sockets / 2, memory_mb: self.memory_mb / 2 };
-        let all = self.budgets(management)?;
-        Ok((all, half.budgets(management).unwrap_or(all)))
+        let full = self.budgets(management)?;
+        Ok((full, half.budgets(management).unwrap_or(full)))
     }
 
     fn budgets(&self, management: bool) -> Result<Budgets, String> {
         let Limits { sockets, memory_mb } = *self;
-        let own = RESERVED_SOCKETS + if management { OPERATORS_SOCKETS } else { 0 };
-        // Callers and their eighth have seven parts of eight: many of them say nothing, and a place is needed
-        // for those that do. Connections hold next to no memory, messages do.
-        let both = sockets.saturating_sub(own);
-        let (clients, backends) = (both * 7 / 9, both / 8);
-        let bytes = (memory_mb.saturating_sub(OWN_MB) << 20) / 4;
-        if clients < LEAST || backends < LEAST || bytes < LEAST * MAX_BUFFERED_MESSAGE_BYTES {
+        let reserved = RESERVED_SOCKETS + if management { MANAGEMENT_SOCKETS } else { 0 };
+        // Clients, with the eighth on top, get seven eighths: many of them are idle, and those that send
+        // requests need connections too. Connections take almost no memory, but messages do.
+        let total = sockets.saturating_sub(reserved);
+        let (clients, backends) = (total * 7 / 9, total / 8);
+        let buffer_bytes = (memory_mb.saturating_sub(RESERVED_MB) << 20) / 4;
+        if clients < MIN_BUDGET
+            || backends < MIN_BUDGET
+            || buffer_bytes < MIN_BUDGET * MAX_BUFFERED_MESSAGE_BYTES
+        {
             return Err(format!("limits of {sockets} sockets and {memory_mb} MB leave no room to serve"));
         }
-        Ok(Budgets { clients, backends, total: both, idle: backends * 3 / 4, buffer_bytes: bytes })
+        Ok(Budgets { clients, backends, total, idle: backends * 3 / 4, buffer_bytes })
     }
 }
 
@@ -137,17 +145,18 @@
     }
 }
 
-/// Why a configuration could not be had.
+/// Why a configuration could not be loaded.
 #[derive(Debug)]
 pub enum ConfigError {
     /// The file could not be read.
     Unreadable { path: PathBuf, error: io::Error },
-    /// What was read is of no use; each line is one thing that is wrong.
+    /// The configuration is invalid; one error on each line of the text.
     Invalid(String),
 }
 
 impl ConfigError {
-    /// Whether the file may be of use in a moment: it could not be read, or is still being written.
+    /// Whether a later attempt may succeed: reading failed for a transient reason, or the file may still be
+    /// being written.
     pub fn is_transient(&self) -> bool {
         match self {
             ConfigError::Unreadable { error, .. } => Cause::of(error).is_retryable(),
@@ -165,29 +174,30 @@
     }
 }
 
-/// What a file holds. Unlike the standard library it gives up when it is interrupted, so that nothing waits for it.
-fn contents(path: &Path) -> io::Result<Vec<u8>> {
+/// Reads a file. Unlike the standard library, it returns an error when it is interrupted (EINTR) instead of
+/// retrying, so that nothing has to wait for it.
+fn read_file(path: &Path) -> io::Result<Vec<u8>> {
     let file = rustix::fs::open(path, OFlags::RDONLY | OFlags::CLOEXEC, Mode::empty())?;
-    let (mut text, mut piece) = (Vec::new(), [0; 16 * 1024]);
+    let (mut text, mut chunk) = (Vec::new(), [0; 16 * 1024]);
     loop {
-        match rustix::io::read(&file, &mut piece)? {
+        match rustix::io::read(&file, &mut chunk)? {
             0 => return Ok(text),
-            read => text.extend_from_slice(&piece[..read]),
+            read => text.extend_from_slice(&chunk[..read]),
         }
     }
 }
 
 impl Config {
     pub fn read(source: &ConfigSource) -> Result<Config, ConfigError> {
-        Config::read_by(source, contents)
+        Config::read_using(source, read_file)
     }
 
-    /// Reads the file again where that fails for a moment.
+    /// Reads the configuration at startup, retrying transient failures.
     pub fn read_with_retries(source: &ConfigSource) -> Result<Config, ConfigError> {
-        Config::read_by(source, |path| retry_transient(|| contents(path)))
+        Config::read_using(source, |path| retry_transient(|| read_file(path)))
     }
 
-    fn read_by(
+    fn read_using(
         source: &ConfigSource,
         read: impl Fn(&Path) -> io::Result<Vec<u8>>,
     ) -> Result<Config, ConfigError> {
@@ -199,28 +209,31 @@
         Config::decode_file(&path, &text).map_err(ConfigError::Invalid)
     }
 
-    /// Decodes by the name: what ends in `.toml` is in the project's own form.
+    /// Decodes a file whose name ends in `.toml` as the project's own format, any other as the platform's
+    /// JSON.
     pub fn decode_file(path: &Path, text: &[u8]) -> Result<Config, String> {
         if path.extension().is_none_or(|extension| extension != "toml") {
             return Config::decode(text).map_err(|e| format!("{}: {e}", path.display()));
         }
         let text = std::str::from_utf8(text).map_err(|e| format!("{}: {e}", path.display()))?;
-        let found = native::decode(text).map_err(|faults| {
-            let lines = faults.iter().map(|fault| format!("{}:{fault}", path.display()));
+        let native = native::decode(text).map_err(|diagnostics| {
+            let lines = diagnostics.iter().map(|diagnostic| format!("{}:{diagnostic}", path.display()));
             lines.collect::<Vec<_>>().join("\n")
         })?;
-        Config::of_native(found).map_err(|e| format!("{}: {e}", path.display()))
+        Config::from_native(native).map_err(|e| format!("{}: {e}", path.display()))
     }
 
+    /// Decodes the platform's JSON.
     pub fn decode(text: &[u8]) -> Result<Config, String> {
-        let text: Text = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let seed = u64::from_str_radix(&text.seed, 16).map_err(|e| format!("seed {:?}: {e}", text.seed))?;
-        let setup = sparlug_setup::decode(text.settings.get().as_bytes())?;
-        let known = text.known.map(|known| listing::decode(known.get().as_bytes(), &setup.zone_names));
-        let (name, listen, discovery) = (text.name, text.listen, Some(text.discovery));
-        let management = text.management.or_else(|| std::env::var("ROUTER_MANAGEMENT").ok()?.parse().ok());
-        let (known, (budgets, halved)) = (known.transpose()?, text.limits.both(management.is_some())?);
-        let fixed = ImmutableSettings::of(&name, listen, &setup);
+        let raw: RawConfig = serde_json::from_slice(text).map_err(|e| e.to_string())?;
+        let seed = u64::from_str_radix(&raw.seed, 16).map_err(|e| format!("seed {:?}: {e}", raw.seed))?;
+        let setup = sparlug_setup::decode(raw.settings.get().as_bytes())?;
+        let initial_list = raw.known.map(|known| listing::decode(known.get().as_bytes(), &setup.zone_names));
+        let (name, listen, discovery) = (raw.name, raw.listen, Some(raw.discovery));
+        let management = raw.management.or_else(|| std::env::var("ROUTER_MANAGEMENT").ok()?.parse().ok());
+        let (initial_list, (budgets, overlap_budgets)) =
+            (initial_list.transpose()?, raw.limits.single_and_overlap_budgets(management.is_some())?);
+        let immutable = ImmutableSettings::new(&name, listen, &setup);
         let (log, log_format) = (None, LogFormat::Text);
         Ok(Config {
             name,
@@ -229,16 +242,16 @@
             management,
             seed,
             budgets,
-            overlap_budgets: halved,
-            initial_list: known,
+            overlap_budgets,
+            initial_list,
             setup,
-            immutable: fixed,
+            immutable,
             log,
             log_format,
         })
     }
 
-    fn of_native(found: NativeConfig) -> Result<Config, String> {
+    fn from_native(native: NativeConfig) -> Result<Config, String> {
         let NativeConfig {
             name,
             listen,
@@ -248,21 +261,24 @@
             memory_mb,
             log,
             log_format,
-            backend_source: directory,
+            backend_source,
             setup,
-        } = found;
-        let (budgets, halved) = Limits { sockets, memory_mb }.both(management.is_some())?;
-        // Without a seed, each start has one of its own.
-        let drawn = || std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        let seed = seed.unwrap_or_else(|| drawn().as_nanos() as u64 ^ u64::from(std::process::id()) << 32);
-        let (discovery, known) = match directory {
+        } = native;
+        let (budgets, overlap_budgets) =
+            Limits { sockets, memory_mb }.single_and_overlap_budgets(management.is_some())?;
+        // Without a configured seed, each start draws its own from the clock and the process id.
+        let since_epoch =
+            || std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let seed =
+            seed.unwrap_or_else(|| since_epoch().as_nanos() as u64 ^ u64::from(std::process::id()) << 32);
+        let (discovery, initial_list) = match backend_source {
             BackendSource::Agent(agent) => (Some(agent), None),
             BackendSource::Static(backends) => {
-                let entries = backends.into_iter().map(entry).collect();
+                let entries = backends.into_iter().map(backend_entry).collect();
                 (None, Some(BackendList { version: 0, full: true, entries }))
             }
         };
-        let fixed = ImmutableSettings::of(&name, listen, &setup);
+        let immutable = ImmutableSettings::new(&name, listen, &setup);
         Ok(Config {
             name,
             listen,
@@ -270,10 +286,10 @@
             management,
             seed,
             budgets,
-            overlap_budgets: halved,
-            initial_list: known,
+            overlap_budgets,
+            initial_list,
             setup,
-            immutable: fixed,
+            immutable,
             log,
             log_format,
         })
@@ -281,12 +297,12 @@
 }
 
 impl ImmutableSettings {
-    fn of(name: &str, listen: SocketAddr, setup: &Setup) -> ImmutableSettings {
+    fn new(name: &str, listen: SocketAddr, setup: &Setup) -> ImmutableSettings {
         ImmutableSettings { name: name.to_string(), listen, setup: format!("{setup:?}") }
     }
 }
 
-fn entry(backend: native::Backend) -> BackendEntry {
+fn backend_entry(backend: native::Backend) -> BackendEntry {
     let listing = Listing {
         backend: listing::backend_id(&backend.name),
         zone: ZoneId(backend.zone.map_or(u16::MAX, |zone| zone as u16)),
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,6 +1,7 @@
-//! The watch on the list of backends: one connection, on which the next call follows each answer at once.
-//! Where lists are pushed, a call that fails is followed by the next one too, so that one is out at all times;
-//! where they are asked for, it tells that it failed, and the decisions say when to ask again.
+//! Watches the list of backends by long polling: one connection to the discovery agent, on which the next
+//! request follows each response at once. Where lists are pushed, a failed request is followed by the next
+//! one too, so that one is always outstanding. Where lists are fetched on request, a failure is reported to
+//! the decision module, which decides when to fetch again.
 
 use std::net::SocketAddr;
 
@@ -12,248 +13,261 @@
 use crate::listing;
 use crate::shared::{IoContext, Owner, ProxyEvent, TimerEvent};
 
-const WAIT: Span = Span::from_millis(1_000); // how long a call may wait for something newer, about
-const GRACE: Span = Span::from_millis(300); // for an agent's answer, beyond the time it may wait
-/// For that of a list's service, which takes the calls of all proxies in their turn. Guards against a service that
-/// is busy with calls that were given up. A call that was lost, a pause and the next one fit into 6 s, after which
-/// what it has counts as told: at the most 1.25 s, 2 s and 1.5 s, which leaves 1.25 s for the answer.
-const SERVICE_GRACE: Span = Span::from_millis(2_000);
-const PACE: Span = Span::from_millis(100); // between calls that bring nothing, or fail, and do not wait either
-const LIST_MOST: usize = 4 * 1024 * 1024;
+/// Long-poll time, which each proxy varies by a quarter up or down: how long the agent may hold a request
+/// until it has a newer list.
+const LONG_POLL_WAIT: Span = Span::from_millis(1_000);
+/// Time for an agent's response beyond the long-poll time.
+const PUSHED_GRACE: Span = Span::from_millis(300);
+/// Time for the response of a list service beyond the long-poll time. The service handles the requests of all
+/// proxies one after the other; a shorter time would keep it busy with requests that were already given up. A
+/// lost request, a pause and the next request have to fit into 6 s, after which the proxy counts as informed
+/// of the service's list: at most 1.25 s of long polling, 2 s of grace and a pause of 1.5 s, which leaves
+/// 1.25 s for the response.
+const ON_REQUEST_GRACE: Span = Span::from_millis(2_000);
+/// Least time between the starts of requests that fail, or return nothing new, without waiting.
+const MIN_REQUEST_INTERVAL: Span = Span::from_millis(100);
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
+/// The client of the discovery agent.
 pub struct Discovery {
-    /// The agent; without one there is nothing to ask.
-    address: Option<SocketAddr>,
-    /// What the agent has counts as told, without being asked for: a call costs it nothing and is out always.
+    /// The agent's address; without one there are no requests.
+    agent: Option<SocketAddr>,
+    /// The agent's list counts as known to the proxy without a request: requests cost nothing, and one is
+    /// always outstanding.
     pushed: bool,
-    zones: Vec<String>,
-    /// The version that the proxy has; `None` asks for the whole list.
+    zone_names: Vec<String>,
+    /// The version of the list that the proxy has; `None` requests the full list.
     version: Option<u64>,
-    /// How long its calls may wait. Guards against a watch that falls silent without an end: nothing but an
-    /// answer that is overdue tells it, so a long wait would hide every change for as long.
-    wait: Span,
-    link: Option<BufferedStream>,
-    /// Whose turn it is: an event of an earlier connection finds another number here.
+    /// The long-poll time of this proxy's requests. It is short because a connection that dies without being
+    /// closed shows only by an overdue response: until then, all changes to the list stay unseen.
+    long_poll_wait: Span,
+    stream: Option<BufferedStream>,
+    /// The number of the current connection, by which events of earlier connections are recognized and
+    /// ignored.
     connection_number: u32,
     head: Option<ResponseHead>,
-    asked: bool,
-    /// The call went out on a connection that had brought an answer before.
+    /// Whether a request is outstanding.
+    requested: bool,
+    /// Whether the request was sent on a connection that had carried a response before.
     reused: bool,
-    since: Time,
-    /// How many calls in a row have failed, and when the first of them did.
-    lost: Option<(u32, Time)>,
+    requested_at: Time,
+    /// How many requests in a row have failed, and when the first of them did.
+    failures: Option<(u32, Time)>,
     deadline: Option<DeadlineId>,
 }
 
 impl Discovery {
-    /// `chance`, from 0 to 1, is another one at each proxy, so that not all notice a silence in one moment.
+    /// `jitter`, from 0 to 1, differs from proxy to proxy, so that they don't all notice a silent agent at
+    /// once.
     pub fn new(
-        address: Option<SocketAddr>,
+        agent: Option<SocketAddr>,
         pushed: bool,
-        zones: Vec<String>,
+        zone_names: Vec<String>,
         version: Option<u64>,
-        chance: f64,
+        jitter: f64,
     ) -> Discovery {
-        let (link, head, lost, deadline) = Default::default();
-        let wait = WAIT.scaled(0.75 + 0.5 * chance);
-        let since = Time::default();
+        let (stream, head, failures, deadline) = Default::default();
+        let long_poll_wait = LONG_POLL_WAIT.scaled(0.75 + 0.5 * jitter);
+        let requested_at = Time::default();
         Discovery {
-            address,
+            agent,
             pushed,
-            zones,
+            zone_names,
             version,
-            wait,
-            link,
+            long_poll_wait,
+            stream,
             connection_number: 0,
             head,
-            asked: false,
+            requested: false,
             reused: false,
-            since,
-            lost,
+            requested_at,
+            failures,
             deadline,
         }
     }
 
-    /// Whose turn it is among its connections.
+    /// The number of the current connection.
     pub fn connection_number(&self) -> u32 {
         self.connection_number
     }
 
-    /// The agent, and the version of the list at hand.
+    /// The agent, and the version of the current list.
     pub fn agent_and_version(&self) -> (Option<SocketAddr>, Option<u64>) {
-        (self.address, self.version)
+        (self.agent, self.version)
     }
 
-    /// Asks for what is newer than the list at hand, unless such a call is under way.
+    /// Requests changes to the current list, unless such a request is outstanding.
     pub fn watch(&mut self, io: &mut IoContext) {
-        if !self.asked {
-            self.ask(io);
+        if !self.requested {
+            self.send_request(io);
         }
     }
 
-    /// Asks for the whole list.
+    /// Requests the full list.
     pub fn fetch_full_list(&mut self, io: &mut IoContext) {
         self.version = None;
         self.stop(io);
-        self.ask(io);
+        self.send_request(io);
     }
 
-    /// Moves the watch to another agent, if it is another one; whether it was. The new watch begins with the
-    /// whole list: one agent's versions mean nothing to another. Until it has come, the old list goes on.
-    pub fn set_agent(&mut self, address: Option<SocketAddr>, io: &mut IoContext) -> bool {
-        let moved = std::mem::replace(&mut self.address, address) != address;
-        if moved {
-            self.lost = None;
+    /// Sets the agent's address and returns whether it changed. A new agent is first asked for the full list,
+    /// because versions have no meaning to another agent. Until it arrives, the old list stays in use.
+    pub fn set_agent(&mut self, agent: Option<SocketAddr>, io: &mut IoContext) -> bool {
+        let changed = std::mem::replace(&mut self.agent, agent) != agent;
+        if changed {
+            self.failures = None;
             self.fetch_full_list(io);
         }
-        moved
+        changed
     }
 
+    /// Cancels the outstanding request and closes the connection.
     pub fn stop(&mut self, io: &mut IoContext) {
         io.deadlines.cancel(self.deadline.take());
-        if let Some(link) = self.link.take() {
-            link.close(&io.registry);
+        if let Some(stream) = self.stream.take() {
+            stream.close(&io.registry);
         }
-        (self.asked, self.head) = (false, None);
+        (self.requested, self.head) = (false, None);
     }
 
-    fn ask(&mut self, io: &mut IoContext) {
-        let Some(address) = self.address else { return };
-        (self.since, self.reused) = (io.now, self.link.is_some());
-        if self.link.is_none() {
+    fn send_request(&mut self, io: &mut IoContext) {
+        let Some(agent) = self.agent else { return };
+        (self.requested_at, self.reused) = (io.now, self.stream.is_some());
+        if self.stream.is_none() {
             self.connection_number = self.connection_number.wrapping_add(1);
-            match BufferedStream::dial(
-                address,
-                &io.registry,
-                Owner::Discovery(self.connection_number).token(),
-            ) {
-                Ok(link) => self.link = Some(link),
-                Err(e) => return self.failed(&e.to_string(), io),
+            match BufferedStream::dial(agent, &io.registry, Owner::Discovery(self.connection_number).token())
+            {
+                Ok(stream) => self.stream = Some(stream),
+                Err(e) => return self.fail(&e.to_string(), io),
             }
         }
-        self.asked = true;
+        self.requested = true;
         tracing::trace!(
             version = self.version,
             turn = self.connection_number,
             reused = self.reused,
-            "list asked for"
+            "requesting the list"
         );
-        let query = self.version.map(|version| format!("?index={version}&wait={:.0}", self.wait.ms()));
-        let wait = if query.is_some() { self.wait } else { Span::ZERO };
-        let host = address;
-        let call = format!("GET /v1/endpoints{} HTTP/1.1\r\nHost: {host}\r\n\r\n", query.unwrap_or_default());
+        let query =
+            self.version.map(|version| format!("?index={version}&wait={:.0}", self.long_poll_wait.ms()));
+        let wait = if query.is_some() { self.long_poll_wait } else { Span::ZERO };
+        let host = agent;
+        let request =
+            format!("GET /v1/endpoints{} HTTP/1.1\r\nHost: {host}\r\n\r\n", query.unwrap_or_default());
         io.deadlines.cancel(self.deadline.take());
-        let grace = if self.pushed { GRACE } else { SERVICE_GRACE };
+        let grace = if self.pushed { PUSHED_GRACE } else { ON_REQUEST_GRACE };
         self.deadline = Some(io.deadlines.set(io.now + wait + grace, TimerEvent::Discovery));
-        if let Some(link) = &mut self.link {
-            link.queue(call.as_bytes());
+        if let Some(stream) = &mut self.stream {
+            stream.queue(request.as_bytes());
         }
-        self.go_on(io);
+        self.process_io(io);
     }
 
-    pub fn handle_event(&mut self, turn: u32, io: &mut IoContext) {
-        if turn == self.connection_number && self.link.is_some() {
-            self.go_on(io);
+    /// Handles an event on the socket of connection `connection_number`.
+    pub fn handle_event(&mut self, connection_number: u32, io: &mut IoContext) {
+        if connection_number == self.connection_number && self.stream.is_some() {
+            self.process_io(io);
         }
     }
 
-    /// The answer did not come in time, or it is time for the next call.
+    /// Handles an overdue response, or the time for the next request.
     pub fn handle_timer(&mut self, io: &mut IoContext) {
         self.deadline = None;
-        if self.asked {
-            self.failed("no answer", io);
+        if self.requested {
+            self.fail("no response", io);
         } else {
-            self.ask(io);
+            self.send_request(io);
         }
     }
 
-    fn failed(&mut self, why: &str, io: &mut IoContext) {
+    fn fail(&mut self, why: &str, io: &mut IoContext) {
         io.counters.lists_failed += 1;
         self.stop(io);
-        let (lost, since) = self.lost.map_or((1, io.now), |(lost, since)| (lost + 1, since));
-        self.lost = Some((lost, since));
-        // Guards against a line for each of many calls that an agent lets not even in.
-        if lost.is_power_of_two() || !self.pushed {
-            tracing::warn!(why, lost, "discovery failed");
+        let (count, since) = self.failures.map_or((1, io.now), |(count, since)| (count + 1, since));
+        self.failures = Some((count, since));
+        // Limits the log lines while an agent refuses every connection.
+        if count.is_power_of_two() || !self.pushed {
+            tracing::warn!(why, lost = count, "discovery failed");
         }
         if !self.pushed {
             return io.events.push_back(ProxyEvent::ListFailed);
         }
-        // Guards against a drain that is heard late: an agent that is silent answers the call that is out when
-        // discovery is back, and from then on what it has counts as told.
-        self.deadline = Some(io.deadlines.set(self.since + PACE, TimerEvent::Discovery));
+        // Guards against noticing a drain late: a silent agent answers the outstanding request as soon as it
+        // is back, and from then on its list counts as known to the proxy.
+        self.deadline =
+            Some(io.deadlines.set(self.requested_at + MIN_REQUEST_INTERVAL, TimerEvent::Discovery));
     }
 
-    fn go_on(&mut self, io: &mut IoContext) {
+    fn process_io(&mut self, io: &mut IoContext) {
         self.advance(io);
-        if let Some(link) = &mut self.link {
-            io.schedule_retry(link, Owner::Discovery(self.connection_number));
+        if let Some(stream) = &mut self.stream {
+            io.schedule_retry(stream, Owner::Discovery(self.connection_number));
         }
     }
 
     fn advance(&mut self, io: &mut IoContext) {
-        let Some(link) = &mut self.link else { return };
-        match link.is_established() {
+        let Some(stream) = &mut self.stream else { return };
+        match stream.is_established() {
             Ok(true) => {}
             Ok(false) => return,
-            Err(e) => return self.failed(&e.to_string(), io),
+            Err(e) => return self.fail(&e.to_string(), io),
         }
-        let sent = link.flush();
-        let read = link.fill(LIST_MOST);
-        let trouble = sent.err().or(read.err());
-        let whole = match self.answer() {
-            Ok(whole) => whole,
-            Err(why) => return self.failed(&why, io),
+        let sent = stream.flush();
+        let read = stream.fill(MAX_LIST_BYTES);
+        let io_error = sent.err().or(read.err());
+        let complete = match self.parse_response() {
+            Ok(complete) => complete,
+            Err(why) => return self.fail(&why, io),
         };
-        match (whole, &self.link) {
-            (Some(()), _) if !self.asked => self.failed("more than was asked for", io),
-            (Some(()), _) => self.listed(io),
-            (None, Some(link)) if link.ended || trouble.is_some() => {
-                let why = trouble.map_or("connection ended".to_string(), |e| e.to_string());
-                let (asked, unheard) = (self.asked, self.reused && link.input.is_empty());
-                // An idle connection may end, also just as it is used again: guards against a watch that
-                // lapses because the agent closes each connection. Only a call that was heard, or one on a
-                // new connection, has failed.
-                if asked && !unheard {
-                    return self.failed(&why, io);
+        match (complete, &self.stream) {
+            (Some(()), _) if !self.requested => self.fail("response without a request", io),
+            (Some(()), _) => self.receive_list(io),
+            (None, Some(stream)) if stream.ended || io_error.is_some() => {
+                let why = io_error.map_or("connection ended".to_string(), |e| e.to_string());
+                let (requested, stale) = (self.requested, self.reused && stream.input.is_empty());
+                // An agent may close an idle connection, also just as it is reused. Only a request that got
+                // part of a response, or was sent on a new connection, has failed: guards against losing the
+                // watch at an agent that closes each connection.
+                if requested && !stale {
+                    return self.fail(&why, io);
                 }
                 self.stop(io);
-                if asked {
-                    self.ask(io);
+                if requested {
+                    self.send_request(io);
                 }
             }
             _ => {}
         }
     }
 
-    /// Whether an answer is whole.
-    fn answer(&mut self) -> Result<Option<()>, String> {
-        let Some(link) = &mut self.link else { return Ok(None) };
+    /// Parses the response so far; `Some` once it is complete.
+    fn parse_response(&mut self) -> Result<Option<()>, String> {
+        let Some(stream) = &mut self.stream else { return Ok(None) };
         if self.head.is_none() {
-            self.head = http::parse_response_head(&link.input).map_err(|bad| format!("{bad:?}"))?;
+            self.head = http::parse_response_head(&stream.input).map_err(|error| format!("{error:?}"))?;
         }
         let Some(head) = &mut self.head else { return Ok(None) };
-        let body = head.body.parse_buffered(&link.input[head.length..], link.ended, LIST_MOST);
-        let whole = body.map_err(|bad| format!("{bad:?}"))?;
-        Ok(whole.map(|_| ()))
+        let body = head.body.parse_buffered(&stream.input[head.length..], stream.ended, MAX_LIST_BYTES);
+        let complete = body.map_err(|error| format!("{error:?}"))?;
+        Ok(complete.map(|_| ()))
     }
 
-    fn listed(&mut self, io: &mut IoContext) {
-        let (Some(head), Some(link)) = (self.head.take(), &mut self.link) else { return };
-        let message = link.take_input(head.length + head.body.parsed_len());
-        // Guards against an agent that talks without being asked, answer upon answer.
-        if !link.input.is_empty() {
-            return self.failed("more than was asked for", io);
+    fn receive_list(&mut self, io: &mut IoContext) {
+        let (Some(head), Some(stream)) = (self.head.take(), &mut self.stream) else { return };
+        let message = stream.take_input(head.length + head.body.parsed_len());
+        // Guards against an agent that sends response after response without requests.
+        if !stream.input.is_empty() {
+            return self.fail("response without a request", io);
         }
         if head.status != 200 {
-            return self.failed(&format!("status {}", head.status), io);
+            return self.fail(&format!("status {}", head.status), io);
         }
-        let list = match listing::decode(&head.body.decode(&message[head.length..]), &self.zones) {
+        let list = match listing::decode(&head.body.decode(&message[head.length..]), &self.zone_names) {
             Ok(list) => list,
-            Err(why) => return self.failed(&why, io),
+            Err(why) => return self.fail(&why, io),
         };
         io.counters.lists_received += 1;
-        let waited = io.now.since(self.since).ms();
+        let waited = io.now.since(self.requested_at).ms();
         let [ready, draining, gone] = list.condition_counts();
         tracing::debug!(
             version = list.version,
@@ -262,31 +276,33 @@
             draining,
             gone,
             waited,
-            "list heard"
+            "list received"
         );
-        if let Some((lost, since)) = self.lost.take() {
+        if let Some((count, since)) = self.failures.take() {
             tracing::info!(
-                lost,
+                lost = count,
                 since_ms = io.now.since(since).ms(),
                 draining,
                 gone,
-                "discovery answers again"
+                "discovery responds again"
             );
         }
-        let before = self.version.replace(list.version);
-        // Guards against spinning on an agent that answers at once with nothing new, or with the same again.
-        let same = list.entries.is_empty() || before == Some(list.version);
-        let pace = same && io.now < self.since + PACE;
-        io.events.push_back(ProxyEvent::ListReceived(list, before));
-        if head.close || self.link.as_ref().is_some_and(|link| link.ended) {
+        let version_before = self.version.replace(list.version);
+        // Guards against a busy loop at an agent that responds at once with no changes or with the same
+        // version.
+        let unchanged = list.entries.is_empty() || version_before == Some(list.version);
+        let too_soon = unchanged && io.now < self.requested_at + MIN_REQUEST_INTERVAL;
+        io.events.push_back(ProxyEvent::ListReceived(list, version_before));
+        if head.close || self.stream.as_ref().is_some_and(|stream| stream.ended) {
             self.stop(io);
         }
-        self.asked = false;
+        self.requested = false;
         io.deadlines.cancel(self.deadline.take());
-        if pace {
-            self.deadline = Some(io.deadlines.set(self.since + PACE, TimerEvent::Discovery));
+        if too_soon {
+            self.deadline =
+                Some(io.deadlines.set(self.requested_at + MIN_REQUEST_INTERVAL, TimerEvent::Discovery));
         } else {
-            self.ask(io);
+            self.send_request(io);
         }
     }
 }
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -1,4 +1,5 @@
-//! The list of backends in discovery's form, decoded into the decisions' own.
+//! Lists of backends: decodes the discovery agent's format into the decision module's, and the format in
+//! which one process hands its list over to the next.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,12 +9,13 @@
 use sparlug::id::{BackendId, PodId, ZoneId};
 use sparlug::time::Time;
 
-/// One line of the list: what the decisions see, and where this proxy finds the backend.
+/// One entry of a list: what the decision module reads, and the address at which this proxy connects to the
+/// backend.
 #[derive(Clone, Debug)]
 pub struct BackendEntry {
     pub host: String,
     pub address: SocketAddr,
-    /// When its process started, by the wall clock of whoever wrote the list.
+    /// When its process started, by the wall clock of the list's author.
     pub listed_start: Option<Time>,
     pub listing: Listing,
 }
@@ -21,20 +23,21 @@
 #[derive(Debug)]
 pub struct BackendList {
     pub version: u64,
+    /// Whether it lists all backends, instead of only changes.
     pub full: bool,
     pub entries: Vec<BackendEntry>,
 }
 
 #[derive(Deserialize)]
-struct Text {
+struct RawList {
     seq: u64,
     #[serde(default, rename = "whole")]
     full: bool,
-    hosts: Vec<Host>,
+    hosts: Vec<RawHost>,
 }
 
 #[derive(Deserialize)]
-struct Host {
+struct RawHost {
     host: String,
     #[serde(rename = "dial")]
     address: SocketAddr,
@@ -56,50 +59,54 @@
 }
 
 impl BackendList {
-    /// How many entries say that a backend is ready, that it drains, and that it is gone.
+    /// The numbers of entries for ready, draining and gone backends.
     pub fn condition_counts(&self) -> [usize; 3] {
-        let of = |what| self.entries.iter().filter(|entry| entry.listing.condition == what).count();
-        [of(Condition::Ready), of(Condition::Draining), of(Condition::Gone)]
+        let count =
+            |condition| self.entries.iter().filter(|entry| entry.listing.condition == condition).count();
+        [count(Condition::Ready), count(Condition::Draining), count(Condition::Gone)]
     }
 
-    /// What is odd about a list, for those who look after discovery. `ready` backends were known before, at
-    /// `version`.
+    /// Describes anomalies of a list, for the operators of discovery. Before it, `ready` backends were known,
+    /// at `version`.
     pub fn anomalies(&self, ready: usize, version: Option<u64>) -> Vec<&'static str> {
         let names: BTreeSet<_> = self.entries.iter().map(|entry| &entry.host).collect();
-        let unknown = |entry: &BackendEntry| entry.listing.zone == ZoneId(u16::MAX);
-        let found = [
+        let has_unknown_zone = |entry: &BackendEntry| entry.listing.zone == ZoneId(u16::MAX);
+        let checks = [
             (self.is_suspiciously_empty(ready), "no backend at all, the last list is kept"),
             (self.full && names.len() * 2 < ready && !names.is_empty(), "less than half of the backends"),
-            (names.len() < self.entries.len(), "a backend twice, the last one counts"),
-            (self.entries.iter().any(unknown), "a zone that the settings do not name"),
-            (version.is_some_and(|version| self.version < version), "an older version than the one at hand"),
+            (names.len() < self.entries.len(), "a backend twice, its last entry is used"),
+            (self.entries.iter().any(has_unknown_zone), "a zone that the settings don't name"),
+            (version.is_some_and(|version| self.version < version), "an older version than the current list"),
         ];
-        found.into_iter().filter(|(odd, _)| *odd).map(|(_, what)| what).collect()
+        checks.into_iter().filter(|(applies, _)| *applies).map(|(_, description)| description).collect()
     }
 
-    /// Guards against a discovery that lost its memory taking every backend away at once: a whole list without any
-    /// is not believed. What is named as going, or left out beside others, goes at once.
+    /// Whether a full list without any backends follows one with ready backends. Such a list is ignored:
+    /// guards against a discovery service that lost its data removing every backend at once. Backends that a
+    /// list names as gone, or leaves out while naming others, are removed at once.
     pub fn is_suspiciously_empty(&self, ready: usize) -> bool {
         self.full && self.entries.is_empty() && ready > 0
     }
 }
 
-/// The decisions' id of a backend. It comes from the host's name, which all proxies know alike, and not from
-/// the address, which may differ: the instances' parts of the list count on one order. (FNV-1a, 64 bits.)
+/// The decision module's id of a backend: a hash (FNV-1a, 64 bits) of the host's name. The name is the same
+/// at all proxies, while the address may differ. The instances divide the list among themselves by the order
+/// of the ids, which therefore has to be the same everywhere.
 pub fn backend_id(host: &str) -> BackendId {
-    let step = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    let sum = host.bytes().fold(0xcbf2_9ce4_8422_2325, step);
-    let [a, b, c, d, e, f, g, h] = sum.to_be_bytes();
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    let hash = host.bytes().fold(0xcbf2_9ce4_8422_2325, step);
+    let [a, b, c, d, e, f, g, h] = hash.to_be_bytes();
     BackendId { address: [a, b, c, d], port: u16::from_be_bytes([e ^ g, f ^ h]) }
 }
 
-pub fn decode(text: &[u8], zones: &[String]) -> Result<BackendList, String> {
-    let text: Text = serde_json::from_slice(text).map_err(|e| format!("list of backends: {e}"))?;
-    let entry = |host: Host| {
-        let zone = zones.iter().position(|zone| *zone == host.site);
+/// Decodes a list in the discovery agent's JSON.
+pub fn decode(text: &[u8], zone_names: &[String]) -> Result<BackendList, String> {
+    let raw: RawList = serde_json::from_slice(text).map_err(|e| format!("list of backends: {e}"))?;
+    let entry = |host: RawHost| {
+        let zone = zone_names.iter().position(|name| *name == host.site);
         let listing = Listing {
             backend: backend_id(&host.host),
-            zone: ZoneId(zone.map_or(u16::MAX, |place| place as u16)),
+            zone: ZoneId(zone.map_or(u16::MAX, |index| index as u16)),
             pod: PodId(host.block),
             condition: match host.health {
                 Health::Ready => Condition::Ready,
@@ -111,14 +118,10 @@
         };
         BackendEntry { host: host.host, address: host.address, listed_start: listing.started, listing }
     };
-    Ok(BackendList {
-        version: text.seq,
-        full: text.full,
-        entries: text.hosts.into_iter().map(entry).collect(),
-    })
+    Ok(BackendList { version: raw.seq, full: raw.full, entries: raw.hosts.into_iter().map(entry).collect() })
 }
 
-/// A list as one process hands it to the next: what is left of all that it was told.
+/// The current list of backends, as one process hands it over to the next.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverList {
     pub version: u64,
