--- a/crates/proxy/src/control_messages.rs
+++ b/crates/proxy/src/control_messages.rs
@@ -1,5 +1,5 @@
-//! What operators ask for, and what one process says to the one that lives beside it: plain words, without the ways on
-//! which they come.
+//! Requests from operators, and the messages between two processes of an upgrade with their JSON encoding.
+//! The connections that carry them are in `management` and `handover`.
 
 use std::net::SocketAddr;
 
@@ -8,29 +8,29 @@
 
 use crate::listing::HandoverList;
 
-/// Bytes of a line at the most.
+/// The longest line that is accepted.
 pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// What an operator asks for.
+/// A request from an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     Ready,
     Metrics,
-    /// Who is there, as this proxy sees it.
+    /// Show the fleet's members as this proxy sees them.
     Fleet,
-    /// Leave a backend out, or let it serve again.
+    /// Disable or enable a backend.
     SetBackendDisabled {
         host: String,
         disabled: bool,
     },
-    /// Not hold a duty here, or hold it again.
+    /// Pause or resume a duty on this proxy.
     SetDutyPaused {
         name: String,
         paused: bool,
     },
 }
 
-/// The name of a backend in what is said.
+/// A backend's id, as it is encoded in handover messages.
 pub type BackendKey = ([u8; 4], u16);
 
 pub fn backend_key(backend: BackendId) -> BackendKey {
@@ -41,10 +41,10 @@
     BackendId { address: key.0, port: key.1 }
 }
 
-/// What one process says to the other.
+/// A message between two processes of an upgrade.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// The first of all, from the one that was there before.
+    /// The first message, from the old process.
     State(HandoverState),
     #[serde(rename = "Bar")]
     SetDisabled {
@@ -54,32 +54,28 @@
     },
 }
 
-/// What the next process needs to go on as this one does.
+/// What the successor needs to continue where its predecessor stands.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// Whose versions the list's are.
+    /// The agent that the list and its version come from.
     pub agent: Option<SocketAddr>,
     #[serde(rename = "barred")]
     pub disabled: Vec<BackendKey>,
     pub list: Option<HandoverList>,
 }
 
-/// The next word in what was read, taken out of it once its line is whole.
+/// Removes the next message from `input`, once its line is complete.
 pub fn take_message(input: &mut Vec<u8>) -> Result<Option<HandoverMessage>, String> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-        return if input.len() > MAX_LINE_BYTES {
-            Err("a line without an end".to_string())
-        } else {
-            Ok(None)
-        };
+        return if input.len() > MAX_LINE_BYTES { Err("line too long".to_string()) } else { Ok(None) };
     };
     let line: Vec<u8> = input.drain(..=end).collect();
     serde_json::from_slice(&line).map(Some).map_err(|e| e.to_string())
 }
 
-/// The line that says it.
-pub fn encode_line(word: &HandoverMessage) -> Vec<u8> {
-    let mut line = serde_json::to_vec(word).unwrap_or_default();
+/// Encodes a message as a line.
+pub fn encode_line(message: &HandoverMessage) -> Vec<u8> {
+    let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,7 @@
-//! The proxy on sockets round sparlug's decisions, a part a file. `proxy` holds the one loop; `clients`,
-//! `pool` and `discovery` are the sides that it serves; the rest is what they share. Nothing here decides.
+//! The proxy that carries out sparlug's decisions on sockets, one part in each module. `proxy` holds the
+//! single event loop. `clients`, `pool` and `discovery` are the connections to clients, to backends and to
+//! the discovery agent that it serves; the other modules are what these share. This crate makes no routing
+//! decisions.
 
 pub mod acceptor;
 pub mod attempt_result;
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,4 +1,4 @@
-//! Where the log goes: standard error, which nothing ever waits for. A line that cannot be written is left out and
+//! Writes the log to standard error without ever blocking. A line that cannot be written is dropped and
 //! counted.
 
 use std::io;
@@ -8,14 +8,15 @@
 use rustix::io::Errno;
 use rustix::stdio::stderr;
 
-const PIECE: usize = 4096; // a pipe that has room at all has room for so much
-const INTERRUPTIONS_MOST: u32 = 16;
+/// Bytes per write. A pipe that polls as writable has room for this much (PIPE_BUF).
+const CHUNK_BYTES: usize = 4096;
+const MAX_INTERRUPTIONS: u32 = 16;
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines of the log that were left out, whole or in part.
+/// The number of log lines that were dropped, in whole or in part.
 pub fn dropped_lines() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 /// Writes lines to standard error.
@@ -29,10 +30,10 @@
 }
 
 impl io::Write for LogWriter {
-    /// Takes a whole line, whether or not it can be written.
+    /// Accepts a whole line, whether or not it can be written.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if !written(line) {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        if !write_line(line) {
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -42,25 +43,26 @@
     }
 }
 
-fn written(line: &[u8]) -> bool {
+/// Writes a line; `false` if it could not be written completely.
+fn write_line(line: &[u8]) -> bool {
     let (mut rest, mut interruptions) = (line, 0);
     while !rest.is_empty() {
-        if !has_room() {
+        if !is_writable() {
             return false;
         }
-        match rustix::io::write(stderr(), &rest[..rest.len().min(PIECE)]) {
+        match rustix::io::write(stderr(), &rest[..rest.len().min(CHUNK_BYTES)]) {
             Ok(0) => return false,
             Ok(bytes) => rest = &rest[bytes..],
-            Err(Errno::INTR) if interruptions < INTERRUPTIONS_MOST => interruptions += 1,
+            Err(Errno::INTR) if interruptions < MAX_INTERRUPTIONS => interruptions += 1,
             Err(_) => return false,
         }
     }
     true
 }
 
-/// Whether a write would not wait: guards against a pipe that nobody reads holding up all that is served.
-fn has_room() -> bool {
-    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    let mut waiting = [PollFd::from_borrowed_fd(stderr(), PollFlags::OUT)];
-    !matches!(poll(&mut waiting, Some(&now)), Ok(0))
+/// Whether a write would not block. Guards against a pipe that nobody reads stalling the whole proxy.
+fn is_writable() -> bool {
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut poll_fds = [PollFd::from_borrowed_fd(stderr(), PollFlags::OUT)];
+    !matches!(poll(&mut poll_fds, Some(&no_wait)), Ok(0))
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! The proxy on sockets round sparlug's decisions. It serves before one tier of backends, which its settings
-//! name; see `docs/architecture.md` for the life of a request.
+//! The proxy program: carries out sparlug's decisions on sockets, in front of the one tier of backends that
+//! its configuration names. See `docs/architecture.md` for the life of a request.
 
 use std::process::ExitCode;
 
@@ -9,11 +9,11 @@
 use sparlug_proxy::signals::SignalQueue;
 use tracing::level_filters::LevelFilter;
 
-/// The log goes to standard error; `SPARLUG_LOG` names its level, `info` if unset.
-fn log() {
+/// Sets up the log on standard error. `SPARLUG_LOG` names its level, `info` if unset.
+fn init_log() {
     let level = std::env::var("SPARLUG_LOG").ok().and_then(|level| level.parse::<LevelFilter>().ok());
     let level = level.unwrap_or(LevelFilter::INFO);
-    // Guards against a crash when nobody reads the log any more.
+    // Guards against a panic when the reader of the log has gone.
     tracing_subscriber::fmt()
         .log_internal_errors(false)
         .with_max_level(level)
@@ -23,13 +23,13 @@
 }
 
 fn main() -> ExitCode {
-    // First of all: guards against a signal that comes before the program is up and ends it.
-    let served = SignalQueue::install().and_then(|signals| {
-        log();
+    // Installed first: guards against a signal during startup ending the program.
+    let result = SignalQueue::install().and_then(|signals| {
+        init_log();
         let config = Config::read_with_retries(&ConfigSource::Environment).map_err(|e| e.to_string())?;
         Proxy::new(config, ConfigSource::Environment, signals)?.run().map_err(|e| format!("cannot poll: {e}"))
     });
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("sparlug-proxy: {e}");
--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/management.rs
@@ -1,5 +1,5 @@
-//! The side of the operators: one more listener, one call to a connection. It frames the calls and their answers; the
-//! loop answers them.
+//! The management endpoint for operators: one HTTP listener, one request per connection. This module parses
+//! requests and writes responses; the event loop carries the requests out.
 
 use std::net::SocketAddr;
 
@@ -16,37 +16,40 @@
 use crate::slots::Slots;
 use crate::startup::retry_transient;
 
-/// Connections of operators at a time. Guards against those that say nothing using up the descriptors.
+/// Concurrent connections from admin clients. Guards against silent ones using up the file descriptors.
 pub const MAX_ADMIN_CONNECTIONS: usize = 8;
-const CALL_TIME: Span = Span::from_millis(6_000); // for a call to come, and its answer to be taken
-const CALL_BYTES: usize = http::MAX_HEAD_BYTES;
+/// Time for a request to arrive and for its response to be received.
+const REQUEST_TIMEOUT: Span = Span::from_millis(6_000);
+const MAX_REQUEST_BYTES: usize = http::MAX_HEAD_BYTES;
 
-struct Caller {
-    link: BufferedStream,
-    since: Time,
+struct AdminClient {
+    stream: BufferedStream,
+    connected_at: Time,
     deadline: DeadlineId,
-    /// Its call has come; what comes behind is thrown away until it closes.
-    called: bool,
+    /// Whether its request is complete, or was refused. Further input is discarded until it closes the
+    /// connection.
+    request_received: bool,
 }
 
+/// The listener of the management endpoint and its connections.
 pub struct ManagementServer {
     acceptor: Acceptor,
-    callers: Slots<AdminTag, Caller>,
+    clients: Slots<AdminTag, AdminClient>,
 }
 
-/// A call with what it was answered, where no more is needed to answer it.
+/// The response to a request that is invalid: its status, further header lines and body.
 type Refusal = (u16, &'static str, &'static str);
 
 impl ManagementServer {
-    /// Listens at an address, if there is one.
+    /// Listens on an address, if one is configured.
     pub fn new(address: Option<SocketAddr>, io: &IoContext) -> Result<ManagementServer, String> {
         let listen =
             |address| Acceptor::register(TcpListener::bind(address)?, Owner::Management, &io.registry);
-        let fault = |e: std::io::Error| format!("cannot listen for operators on {address:?}: {e}");
+        let failed = |e: std::io::Error| format!("cannot listen for management on {address:?}: {e}");
         let acceptor =
-            address.map(|address| retry_transient(|| listen(address))).transpose().map_err(fault)?;
+            address.map(|address| retry_transient(|| listen(address))).transpose().map_err(failed)?;
         let acceptor = acceptor.unwrap_or_else(|| Acceptor::new(None, Owner::Management));
-        Ok(ManagementServer { acceptor, callers: Slots::default() })
+        Ok(ManagementServer { acceptor, clients: Slots::default() })
     }
 
     pub fn address(&self) -> Option<SocketAddr> {
@@ -55,18 +58,22 @@
 
     pub fn accept(&mut self, io: &mut IoContext) {
         while let Accepted::Connection(stream) = self.acceptor.accept(io) {
-            while self.callers.count() >= MAX_ADMIN_CONNECTIONS {
-                // Guards against callers that never come to their call keeping others from theirs.
-                let oldest = self.callers.iter().min_by_key(|(_, caller)| (!caller.called, caller.since));
+            while self.clients.count() >= MAX_ADMIN_CONNECTIONS {
+                // Closes the oldest connection whose request has arrived, or else the oldest of all. Guards
+                // against clients that never send a request keeping out others.
+                let oldest = self
+                    .clients
+                    .iter()
+                    .min_by_key(|(_, client)| (!client.request_received, client.connected_at));
                 let Some(slot) = oldest.map(|(slot, _)| slot) else { break };
                 self.close(slot, io);
             }
-            let mut stream = Some(stream);
+            let mut accepted = Some(stream);
             let (deadlines, now) = (&mut io.deadlines, io.now);
-            let slot = self.callers.insert_with(|slot| {
-                let link = BufferedStream::new(stream.take()?);
-                let deadline = deadlines.set(now + CALL_TIME, TimerEvent::AdminTimeout(slot));
-                Some(Caller { link, since: now, deadline, called: false })
+            let slot = self.clients.insert_with(|slot| {
+                let stream = BufferedStream::new(accepted.take()?);
+                let deadline = deadlines.set(now + REQUEST_TIMEOUT, TimerEvent::AdminTimeout(slot));
+                Some(AdminClient { stream, connected_at: now, deadline, request_received: false })
             });
             if let Some(slot) = slot {
                 self.handle_event(slot, io);
@@ -75,85 +82,85 @@
     }
 
     pub fn handle_event(&mut self, slot: AdminSlot, io: &mut IoContext) {
-        self.go_on(slot, io);
-        if let Some(caller) = self.callers.get_mut(slot) {
-            io.schedule_retry(&mut caller.link, Owner::Call(slot));
+        self.process_io(slot, io);
+        if let Some(client) = self.clients.get_mut(slot) {
+            io.schedule_retry(&mut client.stream, Owner::Call(slot));
         }
     }
 
-    fn go_on(&mut self, slot: AdminSlot, io: &mut IoContext) {
-        let Some(caller) = self.callers.get_mut(slot) else { return };
-        let read = caller.link.fill(CALL_BYTES);
-        if caller.called {
-            caller.link.input.clear();
-            let flushed = caller.link.flush();
+    fn process_io(&mut self, slot: AdminSlot, io: &mut IoContext) {
+        let Some(client) = self.clients.get_mut(slot) else { return };
+        let read = client.stream.fill(MAX_REQUEST_BYTES);
+        if client.request_received {
+            client.stream.input.clear();
+            let flushed = client.stream.flush();
             if matches!(flushed, Ok(true)) {
-                caller.link.shutdown_write();
+                client.stream.shutdown_write();
             }
-            if read.is_err() || flushed.is_err() || caller.link.ended {
+            if read.is_err() || flushed.is_err() || client.stream.ended {
                 self.close(slot, io);
-            } else if caller.link.has_unread() {
+            } else if client.stream.has_unread() {
                 io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Call(slot)));
             }
             return;
         }
-        match parse(&caller.link.input) {
-            Err((status, lines, body)) => self.respond(slot, status, lines, body, io),
-            Ok(Some(call)) => {
-                caller.called = true;
-                io.events.push_back(ProxyEvent::AdminRequestReceived(slot, call));
+        match parse(&client.stream.input) {
+            Err((status, headers, body)) => self.respond(slot, status, headers, body, io),
+            Ok(Some(request)) => {
+                client.request_received = true;
+                io.events.push_back(ProxyEvent::AdminRequestReceived(slot, request));
             }
-            Ok(None) if caller.link.ended || read.is_err() => self.close(slot, io),
-            Ok(None) if caller.link.input.len() >= CALL_BYTES => {
+            Ok(None) if client.stream.ended || read.is_err() => self.close(slot, io),
+            Ok(None) if client.stream.input.len() >= MAX_REQUEST_BYTES => {
                 self.respond(slot, 413, "", "a call has no body\n", io)
             }
             Ok(None) => {}
         }
     }
 
-    /// Writes the answer to a call, and with it the end of the connection.
-    pub fn respond(&mut self, slot: AdminSlot, status: u16, lines: &str, body: &str, io: &mut IoContext) {
-        let Some(caller) = self.callers.get_mut(slot) else { return };
-        caller.called = true;
-        caller.link.queue(&http::build_response(status, &format!("{lines}Connection: close\r\n"), body));
+    /// Writes the response to a request and then closes the connection. `headers` are further header lines.
+    pub fn respond(&mut self, slot: AdminSlot, status: u16, headers: &str, body: &str, io: &mut IoContext) {
+        let Some(client) = self.clients.get_mut(slot) else { return };
+        client.request_received = true;
+        client.stream.queue(&http::build_response(status, &format!("{headers}Connection: close\r\n"), body));
         self.handle_event(slot, io);
     }
 
     pub fn close(&mut self, slot: AdminSlot, io: &mut IoContext) {
-        let Some(caller) = self.callers.remove(slot) else { return };
-        io.deadlines.cancel(Some(caller.deadline));
-        caller.link.close(&io.registry);
+        let Some(client) = self.clients.remove(slot) else { return };
+        io.deadlines.cancel(Some(client.deadline));
+        client.stream.close(&io.registry);
     }
 }
 
-/// What may be asked for, as one is told whose method is none of them.
-const CALLS: &str = "GET /ready, GET /metrics, GET /fleet, PUT /backends/disable/ID or enable, \
+/// All supported requests: the body of the response to a request with any other method.
+const SUPPORTED_REQUESTS: &str = "GET /ready, GET /metrics, GET /fleet, PUT /backends/disable/ID or enable, \
                      PUT /fleet/duties/pause/NAME or resume\n";
 
-/// What a call asks for, once it is whole; or the answer that it gets for being none.
+/// Parses a request once it is complete, or returns the response that refuses it.
 fn parse(bytes: &[u8]) -> Result<Option<AdminRequest>, Refusal> {
-    let refusal = |bad: HttpError| match bad {
-        HttpError::Method => (405, "Allow: GET, PUT\r\n", CALLS),
-        bad => (bad.status(), "", "no HTTP/1.1 call that can be read\n"),
+    let refusal = |error: HttpError| match error {
+        HttpError::Method => (405, "Allow: GET, PUT\r\n", SUPPORTED_REQUESTS),
+        error => (error.status(), "", "no HTTP/1.1 call that can be read\n"),
     };
     let Some(mut head) = http::parse_request_head(bytes, ADMIN_METHODS).map_err(refusal)? else {
         return Ok(None);
     };
-    let body = head.body.parse_buffered(&bytes[head.length..], false, CALL_BYTES).map_err(refusal)?;
+    let body = head.body.parse_buffered(&bytes[head.length..], false, MAX_REQUEST_BYTES).map_err(refusal)?;
     if body.is_none() {
         return Ok(None);
     }
-    let bar = |id: &str, barred| {
+    let set_disabled = |id: &str, disabled| {
         let host = percent_decode_str(id).decode_utf8().map_err(|_| refusal(HttpError::Malformed))?;
-        Ok(("PUT", AdminRequest::SetBackendDisabled { host: host.into_owned(), disabled: barred }))
+        Ok(("PUT", AdminRequest::SetBackendDisabled { host: host.into_owned(), disabled }))
     };
-    let (method, call) = match head.path.as_str() {
+    let (method, request) = match head.path.as_str() {
         "/ready" => ("GET", AdminRequest::Ready),
         "/metrics" => ("GET", AdminRequest::Metrics),
         "/fleet" => ("GET", AdminRequest::Fleet),
         path => match (path.strip_prefix("/backends/disable/"), path.strip_prefix("/backends/enable/")) {
-            (Some(id), _) => bar(id, true)?,
-            (_, Some(id)) => bar(id, false)?,
+            (Some(id), _) => set_disabled(id, true)?,
+            (_, Some(id)) => set_disabled(id, false)?,
             _ if path.starts_with("/fleet/duties/") => {
                 let rest = path.strip_prefix("/fleet/duties/").and_then(|rest| rest.split_once('/'));
                 match rest {
@@ -170,7 +177,7 @@
         },
     };
     match (head.method == method, method) {
-        (true, _) => Ok(Some(call)),
+        (true, _) => Ok(Some(request)),
         (false, "GET") => Err((405, "Allow: GET\r\n", "to be asked with GET\n")),
         (false, _) => Err((405, "Allow: PUT\r\n", "to be asked with PUT\n")),
     }
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program answers to.
+//! The signals that the program handles.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,42 +11,42 @@
 use crate::shared::Owner;
 use crate::startup::retry_transient;
 
-const SIGNALS: [i32; 4] = [SIGTERM, SIGINT, SIGHUP, SIGUSR1];
+const HANDLED_SIGNALS: [i32; 4] = [SIGTERM, SIGINT, SIGHUP, SIGUSR1];
 
-/// Signals that came and were not taken yet.
+/// Signals that were received and not handled yet.
 pub struct SignalQueue {
     signals: Signals,
-    /// One has come. Guards against one that is not heard because its handler could not write to the pipe that wakes
-    /// the loop.
-    raised: Arc<AtomicBool>,
+    /// Whether a signal was received. Guards against missing one whose handler could not write to the pipe
+    /// that wakes the event loop.
+    pending: Arc<AtomicBool>,
 }
 
 impl SignalQueue {
-    /// Hears the signals from here on.
+    /// Installs the signal handlers.
     pub fn install() -> Result<SignalQueue, String> {
-        let hear = || {
-            let signals = Signals::new(SIGNALS)?;
-            let raised = Arc::new(AtomicBool::new(false));
-            for signal in SIGNALS {
-                signal_hook::flag::register(signal, raised.clone())?;
+        let install = || {
+            let signals = Signals::new(HANDLED_SIGNALS)?;
+            let pending = Arc::new(AtomicBool::new(false));
+            for signal in HANDLED_SIGNALS {
+                signal_hook::flag::register(signal, pending.clone())?;
             }
-            Ok(SignalQueue { signals, raised })
+            Ok(SignalQueue { signals, pending })
         };
-        retry_transient(hear).map_err(|e| format!("cannot hear signals: {e}"))
+        retry_transient(install).map_err(|e| format!("cannot handle signals: {e}"))
     }
 
     pub fn register(&mut self, registry: &Registry) -> io::Result<()> {
         registry.register(&mut self.signals, Owner::Signals.token(), Interest::READABLE)
     }
 
-    /// Whether signals have come that were not taken.
+    /// Whether there are signals to handle.
     pub fn has_pending(&self) -> bool {
-        self.raised.load(Ordering::SeqCst)
+        self.pending.load(Ordering::SeqCst)
     }
 
-    /// Takes all that have come.
+    /// Takes all signals that were received.
     pub fn take_pending(&mut self) -> Vec<i32> {
-        self.raised.store(false, Ordering::SeqCst);
+        self.pending.store(false, Ordering::SeqCst);
         self.signals.pending().collect()
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,15 +1,15 @@
-//! Calls that the program cannot start without, made again where they fail for a moment.
+//! Retries system calls that the program cannot start without when they fail for a transient reason.
 
 use std::io;
 use std::time::{Duration, Instant};
 
 use crate::io_failures::Cause;
 
-const PATIENCE: Duration = Duration::from_secs(3);
-const PAUSE: Duration = Duration::from_millis(10);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Says that the start takes longer, also before the log is there.
-fn say(error: &io::Error) {
+/// Reports the delay in the log, or on standard error before the log is set up.
+fn report_delay(error: &io::Error) {
     if tracing::dispatcher::has_been_set() {
         tracing::warn!(%error, "cannot start yet, trying again");
     } else {
@@ -17,24 +17,24 @@
     }
 }
 
-/// Whether a call is to be made again. One that waited for as long as it may is not.
-fn may_pass(error: &io::Error) -> bool {
+/// Whether to retry a call. One that ran into its own time-out is not retried.
+fn is_transient(error: &io::Error) -> bool {
     error.kind() != io::ErrorKind::WouldBlock && Cause::of(error).is_retryable()
 }
 
-/// Makes a call until it succeeds, fails in a way that lasts, or the time for it is over.
+/// Repeats a call until it succeeds, fails with a permanent error, or has been retried for 3 s.
 pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let (start, mut told) = (Instant::now(), false);
+    let (start, mut reported) = (Instant::now(), false);
     loop {
         match call() {
-            Err(e) if !told && may_pass(&e) => {
-                say(&e);
-                told = true;
+            Err(e) if !reported && is_transient(&e) => {
+                report_delay(&e);
+                reported = true;
             }
-            Err(e) if may_pass(&e) && start.elapsed() < PATIENCE => {
-                std::thread::sleep(PAUSE);
+            Err(e) if is_transient(&e) && start.elapsed() < RETRY_TIMEOUT => {
+                std::thread::sleep(RETRY_PAUSE);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
