--- a/crates/command/tests/command.rs
+++ b/crates/command/tests/command.rs
@@ -141,7 +141,7 @@
         assert!(Command::new("kill").args([name, &proxy.id().to_string()]).status().unwrap().success())
     };
     signal("-HUP");
-    logged("configuration read anew");
+    logged("configuration reloaded");
     assert!(ask("2").ends_with("second"));
     signal("-TERM");
     assert!(proxy.wait().unwrap().success());
--- /dev/null
+++ b/crates/proxy/src/clients/capacity.rs
@@ -0,0 +1,86 @@
+//! The limit of client connections, and which connection is evicted for a new one.
+
+use std::collections::BTreeSet;
+
+use rustix::process::{getrlimit, Resource};
+use sparlug::time::Time;
+
+use super::{Clients, LINGERING_RANK, MIN_EVICTION_AGE};
+use crate::close_reason::CloseReason;
+use crate::config::RESERVED_SOCKETS;
+use crate::shared::{ClientSlot, IoContext};
+
+impl Clients {
+    /// Lowers the connection limit where the process has fewer descriptors than the configuration allows;
+    /// otherwise idle connections would keep all new ones out. The kernel is asked for the limit of
+    /// descriptors, since a single failure proves nothing.
+    pub(super) fn limit_by_descriptors(&mut self, io: &IoContext) {
+        // A quarter stays free, since the process may hold more descriptors than were reserved for it.
+        let capacity = descriptor_capacity();
+        if self.connections.count() + io.backend_connections >= capacity * 3 / 4 {
+            self.set_descriptor_limit(capacity);
+        }
+    }
+
+    pub(super) fn set_descriptor_limit(&mut self, capacity: usize) {
+        let limit = Some((capacity * 3 / 4).max(1)).filter(|limit| *limit < self.budgets.clients);
+        if std::mem::replace(&mut self.descriptor_limit, limit) != limit {
+            tracing::warn!(
+                clients = self.limit(),
+                "client connections limited by the process's limit of descriptors"
+            );
+        }
+    }
+
+    /// How many connections may be open.
+    pub(super) fn limit(&self) -> usize {
+        self.descriptor_limit.map_or(self.budgets.clients, |limit| limit.min(self.budgets.clients))
+    }
+
+    /// Makes room for a new connection and returns whether there is any. Only connections without a pending
+    /// response are evicted: first lingering ones, then idle ones, then those with an incomplete request.
+    pub(super) fn make_room(&mut self, io: &mut IoContext) -> bool {
+        while self.connections.count() >= self.limit() {
+            // Recently used connections are not evicted: a new connection is about to send a request, and
+            // closing it would lose that request.
+            let Some(slot) = self.eviction_candidate(io.now) else {
+                // A few connections beyond the limit are accepted, so that requests already sent on
+                // connections that the kernel has accepted do not stay unread.
+                return self.connections.count() < self.limit() + self.limit() / 8;
+            };
+            self.handle_ready(slot, io);
+            if self.eviction_candidate(io.now) == Some(slot) {
+                self.close(slot, CloseReason::MadeRoom, io);
+            }
+        }
+        true
+    }
+
+    /// The connection that is evicted next, if any may be.
+    pub(super) fn eviction_candidate(&self, now: Time) -> Option<ClientSlot> {
+        let evictable = |(rank, set): (usize, &BTreeSet<(Time, ClientSlot)>)| {
+            let (last_used, slot) = set.first()?;
+            (rank == LINGERING_RANK || now > *last_used + MIN_EVICTION_AGE).then_some(*slot)
+        };
+        self.eviction_order.iter().enumerate().find_map(evictable)
+    }
+
+    /// Records whether the limit is reached, and logs each change of that, not each connection.
+    pub(super) fn log_full(&mut self, full: bool) {
+        if std::mem::replace(&mut self.full, full) != full {
+            let (clients, unfinished) = (self.connections.count(), self.unfinished_count());
+            let message = if full {
+                "client limit reached, new connections wait"
+            } else {
+                "accepting new clients again"
+            };
+            tracing::info!(clients, owing = unfinished, "{message}");
+        }
+    }
+}
+
+/// How many connections the process's limit of descriptors allows.
+pub(super) fn descriptor_capacity() -> usize {
+    let limit = getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok());
+    limit.map_or(usize::MAX / 4, |limit| limit.saturating_sub(RESERVED_SOCKETS))
+}
--- a/crates/proxy/src/clients/client.rs
+++ b/crates/proxy/src/clients/client.rs
@@ -1,6 +1,6 @@
-//! One connection that a client opened, and the body that comes in on it.
+//! One connection from a client, and the body that is being received on it.
 
-use super::{BODY_CHECK, BODY_RATE, BODY_STILL, BODY_TIME};
+use super::{BODY_CHECK_INTERVAL, BODY_GRACE_TIME, BODY_SILENCE_TIMEOUT, MIN_BODY_BYTES_PER_MS};
 use crate::body::Body;
 use crate::buffered_stream::BufferedStream;
 use crate::deadlines::DeadlineId;
@@ -9,95 +9,103 @@
 use sparlug::id::RequestId;
 use sparlug::time::Time;
 
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum State {
-    /// Between requests, or within one that is not whole.
+pub(super) enum ClientState {
+    /// Between requests, or with an incomplete request.
     Reading,
-    /// A request was taken and its answer is owed.
+    /// A request was received and its response is pending.
     Waiting(Option<RequestId>),
-    /// An answer is being written.
+    /// A response is being written.
     Answering { close: bool },
-    /// One that is passed on as it comes; `done` once its last byte is here.
+    /// A response is being streamed; `done` once its last byte was received from the backend.
     Streaming { request: RequestId, close: bool, done: bool },
-    /// The last answer is written; what still comes is thrown away until the client closes.
+    /// The last response is written; further input is discarded until the client closes.
     Lingering,
 }
 
-/// A body that is not whole yet, and how it comes.
-pub(super) struct Upload {
-    /// Where it ends, if it is passed on as it comes.
-    pub(super) body: Option<Body>,
-    pub(super) since: Time,
-    pub(super) heard: Time,
-    pub(super) bytes: usize,
+/// An incomplete request body and its progress.
+pub(super) struct IncomingBody {
+    /// Finds the end of the body, if it is streamed.
+    pub(super) parser: Option<Body>,
+    pub(super) started: Time,
+    pub(super) last_received: Time,
+    pub(super) received_bytes: usize,
 }
 
-impl Upload {
-    /// Whether its client has stopped, or is too slow to wait for.
-    pub(super) fn stalled(&self, now: Time) -> bool {
-        let since = now.since(self.since);
-        let slow = (self.bytes as f64) < BODY_RATE * since.ms();
-        since >= BODY_TIME && (slow || now.since(self.heard) >= BODY_STILL)
+impl IncomingBody {
+    /// Whether the client has stopped sending, or is too slow.
+    pub(super) fn is_stalled(&self, now: Time) -> bool {
+        let elapsed = now.since(self.started);
+        let slow = (self.received_bytes as f64) < MIN_BODY_BYTES_PER_MS * elapsed.ms();
+        elapsed >= BODY_GRACE_TIME && (slow || now.since(self.last_received) >= BODY_SILENCE_TIMEOUT)
     }
 }
 
+/// One connection from a client.
 pub(super) struct Client {
-    pub(super) link: BufferedStream,
-    pub(super) state: State,
-    /// Behind a box: an idle connection has none, and it is larger than all the rest.
+    pub(super) stream: BufferedStream,
+    pub(super) state: ClientState,
+    /// Boxed, since idle connections have none and it is larger than all other fields together.
     pub(super) head: Option<Box<RequestHead>>,
-    pub(super) upload: Option<Box<Upload>>,
-    /// The id of the request that was taken and is not answered.
-    pub(super) id: Option<String>,
-    /// The class of the request that came and has not ended, for the figures.
-    pub(super) open: Option<u16>,
+    pub(super) incoming_body: Option<Box<IncomingBody>>,
+    /// The id of the request that was received and has no response yet.
+    pub(super) request_id: Option<String>,
+    /// The class of the request that was received and has not ended, for the counters.
+    pub(super) open_class: Option<u16>,
     pub(super) deadline: Option<DeadlineId>,
-    pub(super) used: Time,
-    /// Since when a request may have waited to be read, because calls failed.
-    pub(super) held_up: Option<Time>,
-    /// Of its unread bytes, what the sum over all holds.
-    pub(super) counted: usize,
-    /// Where it stands among those that may have to leave.
-    pub(super) standing: Option<(usize, Time)>,
-    /// A request has begun to come, or none has come yet: the deadline is for that.
-    pub(super) begun: bool,
-    /// It has closed its side; what is still to be read from it is of no use.
+    pub(super) last_used: Time,
+    /// Since when a request may have waited to be read because system calls failed.
+    pub(super) read_failed_since: Option<Time>,
+    /// The share of this connection in `Clients::unread_bytes`.
+    pub(super) counted_bytes: usize,
+    /// Its rank and time of last use in the eviction order.
+    pub(super) eviction_key: Option<(usize, Time)>,
+    /// The deadline limits the reading of a request: one has started to arrive, or the first is awaited.
+    pub(super) read_timer_set: bool,
+    /// The client has closed its side; what is still unread is of no use.
     pub(super) hung_up: bool,
 }
 
 impl Client {
-    /// Whether a request that was read, or a part of one, has no whole answer yet.
-    pub(super) fn is_owed(&self) -> bool {
+    /// Whether a request that was read, even in part, has no complete response yet.
+    pub(super) fn has_pending_response(&self) -> bool {
         match self.state {
-            State::Reading => !self.link.input.is_empty(),
-            State::Waiting(_) => true,
-            State::Answering { .. } | State::Streaming { .. } => {
-                self.link.unsent() > 0 || self.open.is_some()
+            ClientState::Reading => !self.stream.input.is_empty(),
+            ClientState::Waiting(_) => true,
+            ClientState::Answering { .. } | ClientState::Streaming { .. } => {
+                self.stream.unsent() > 0 || self.open_class.is_some()
             }
-            State::Lingering => false,
+            ClientState::Lingering => false,
         }
     }
 
-    /// Reads, and notes how a body that is not whole comes; an error if the connection broke.
-    pub(super) fn fill(&mut self, most: usize, now: Time) -> std::io::Result<()> {
-        let before = self.link.input.len();
-        let read = self.link.fill(most);
-        let came = self.link.input.len() - before;
-        if self.link.read_failed() {
-            self.held_up = self.held_up.or(Some(now));
-        } else if came == 0 && self.link.input.is_empty() {
-            self.held_up = None;
+    /// Reads until `max_bytes` are buffered, and updates the progress of an incomplete body. Fails if the
+    /// connection broke.
+    pub(super) fn read(&mut self, max_bytes: usize, now: Time) -> std::io::Result<()> {
+        let before = self.stream.input.len();
+        let result = self.stream.fill(max_bytes);
+        let received = self.stream.input.len() - before;
+        if self.stream.read_failed() {
+            self.read_failed_since = self.read_failed_since.or(Some(now));
+        } else if received == 0 && self.stream.input.is_empty() {
+            self.read_failed_since = None;
         }
-        if let (Some(upload), true) = (&mut self.upload, came > 0) {
-            (upload.heard, upload.bytes) = (now, upload.bytes + came);
+        if let (Some(body), true) = (&mut self.incoming_body, received > 0) {
+            (body.last_received, body.received_bytes) = (now, body.received_bytes + received);
         }
-        read
+        result
     }
 
-    /// A body begins to come, which is passed on as it does if it is known where it ends.
-    pub(super) fn await_body(&mut self, slot: ClientSlot, body: Option<Body>, io: &mut IoContext) {
-        self.upload = Some(Box::new(Upload { body, since: io.now, heard: io.now, bytes: 0 }));
+    /// Starts to receive a body, which is streamed if a `parser` is given.
+    pub(super) fn start_body(&mut self, slot: ClientSlot, parser: Option<Body>, io: &mut IoContext) {
+        self.incoming_body = Some(Box::new(IncomingBody {
+            parser,
+            started: io.now,
+            last_received: io.now,
+            received_bytes: 0,
+        }));
         io.deadlines.cancel(self.deadline.take());
-        self.deadline = Some(io.deadlines.set(io.now + BODY_CHECK, TimerEvent::ClientTimeout(slot)));
+        self.deadline = Some(io.deadlines.set(io.now + BODY_CHECK_INTERVAL, TimerEvent::ClientTimeout(slot)));
     }
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The one loop: it waits for sockets, signals and deadlines, hands what has happened to the decisions, and
-//! carries out what they say. It decides nothing.
+//! The event loop: it waits for sockets, signals and deadlines, reports what happened to the balancer, and
+//! carries out the balancer's actions. It makes no routing decisions.
 
 use std::io;
 use std::time::Duration;
@@ -39,67 +39,70 @@
 mod lifecycle;
 mod requests;
 
-const OVERSLEPT: Span = Span::from_millis(3); // more than the timer's own coarseness
-const BACKLOG: i32 = 1024; // connections that may wait to be accepted
-const ACCEPT_ON: Span = Span::from_millis(600); // how long new connections are taken after the word to go
-const JOIN_PAUSE: Span = Span::from_millis(1_000); // before a fleet that could not be joined is joined again
-const RELOAD_FOR: Span = Span::from_millis(30_000); // for which reading a configuration is tried
-const RELOAD_PAUSE: Span = Span::from_millis(50);
-const RELOAD_PAUSE_MOST: Span = Span::from_millis(500);
-const FAILED_WAITS_MOST: u32 = 1_000; // in a row, after which the program ends
-const LASTED: Span = Span::from_millis(1); // a wait of this length has told that nothing was ready until its end
-const LOOK_PAUSE: Span = Span::from_millis(5); // between looks at everything, while waits fail
-const INTERRUPTIONS_MOST: u32 = 1_000; // waits in a row, before the loop pauses
-const INTERRUPTED_PAUSE: Duration = Duration::from_micros(100);
+const OVERSLEEP_TOLERANCE: Span = Span::from_millis(3); // more than the timer's resolution
+const LISTEN_BACKLOG: i32 = 1024;
+/// How long new connections are accepted after the signal to shut down.
+const SHUTDOWN_ACCEPT_TIME: Span = Span::from_millis(600);
+const FLEET_JOIN_RETRY_PAUSE: Span = Span::from_millis(1_000);
+const RELOAD_RETRY_TIME: Span = Span::from_millis(30_000); // how long a failed reload is retried
+const MIN_RELOAD_RETRY_PAUSE: Span = Span::from_millis(50);
+const MAX_RELOAD_RETRY_PAUSE: Span = Span::from_millis(500);
+const MAX_FAILED_WAITS: u32 = 1_000; // in a row, after which the process ends
+/// A failed wait that lasted longer than this shows that no socket was ready until its end.
+const CONCLUSIVE_WAIT: Span = Span::from_millis(1);
+const SOCKET_CHECK_PAUSE: Span = Span::from_millis(5); // between checks of all sockets while waits fail
+const MAX_INTERRUPTED_WAITS: u32 = 1_000; // in a row, after which the loop pauses before each wait
+const INTERRUPTED_WAIT_PAUSE: Duration = Duration::from_micros(100);
 const FAILED_WAIT_PAUSE: Duration = Duration::from_millis(1);
-const DRAIN_PAUSE: Span = Span::from_millis(5); // between looks at a queue that could not be emptied
-const COPY_MOST: usize = 512 * 1024; // of a long request, that is held so that it can go again
-const GONE_BY: Span = Span::from_millis(50); // after the longest deadline from then, nothing is owed any more
+const LISTENER_DRAIN_PAUSE: Span = Span::from_millis(5); // between attempts to empty the accept queue
+const MAX_REPLAY_BYTES: usize = 512 * 1024; // of a streamed request that are kept so that it can be retried
+const SHUTDOWN_GRACE: Span = Span::from_millis(50); // after the last deadline, until the process ends
 
-/// A request until its answer is given and all its attempts have ended.
-struct Held {
-    /// `None` once it has its answer.
+/// A request that has no response yet or still has running attempts.
+struct PendingRequest {
+    /// `None` once the response was sent, or the client is gone.
     client: Option<ClientSlot>,
     incoming: IncomingRequest,
-    /// By number, the connections that carry attempts; `None` for one that has ended.
+    /// The connection of each attempt, by its number; `None` for one that has ended.
     attempts: Vec<Option<ConnSlot>>,
-    /// `None` while its time has not begun.
+    /// `None` until the request is complete.
     deadline: Option<DeadlineId>,
-    /// For a request that is sent on as it comes.
-    upload: Option<Upload>,
-    /// For an answer that is passed on as it comes, once it has begun.
-    began: Option<Box<ResponseHead>>,
+    /// Set if the request is streamed to the backend.
+    streamed_body: Option<StreamedBody>,
+    /// The head of a response that is being streamed to the client.
+    streamed_response: Option<Box<ResponseHead>>,
 }
 
-/// A request that is sent on as it comes.
-struct Upload {
-    /// How much of what is held the attempt that is out has got.
-    fed: usize,
-    /// Not all that came is held any more.
-    spent: bool,
-    /// Its last byte has come.
-    over: bool,
+/// The state of a request that is streamed to the backend.
+struct StreamedBody {
+    /// How many of the buffered bytes were passed to the running attempt.
+    sent: usize,
+    /// The received bytes are no longer all buffered, so that the request cannot be retried.
+    discarded: bool,
+    /// The last byte was received.
+    complete: bool,
 }
 
-impl Held {
-    fn streams(&self) -> bool {
-        self.upload.is_some() || self.began.is_some()
+impl PendingRequest {
+    fn is_streaming(&self) -> bool {
+        self.streamed_body.is_some() || self.streamed_response.is_some()
     }
 }
 
+/// A running proxy: the event loop with everything it serves.
 pub struct Proxy {
     poll: Poll,
     clock: Clock,
-    /// When the last wait was over.
-    polled: Time,
+    /// When the last wait for events ended.
+    last_wait_end: Time,
     signals: SignalQueue,
     io: IoContext,
     balancer: Balancer,
     actions: Vec<Action>,
     clients: Clients,
-    held: Slots<RequestTag, Held>,
-    /// Bytes of all requests that are held.
-    held_bytes: usize,
+    pending: Slots<RequestTag, PendingRequest>,
+    /// Buffered bytes of all pending requests.
+    buffered_bytes: usize,
     pool: Pool,
     discovery: Discovery,
     start_times: StartTimes,
@@ -107,46 +110,47 @@
     handover: Handover,
     peers: Peers,
     fleet: Fleet,
-    /// The number that stands for this proxy among the fleet's.
+    /// The number of this proxy in the fleet.
     ordinal: usize,
-    /// Alone, and while another process lives beside it.
+    /// Budgets while this is the only process, and during the overlap with another one in a handover.
     budgets: [Budgets; 2],
-    /// The path at which a backend is checked.
+    /// The path of checks.
     check_path: &'static str,
-    longest: Span,
-    /// What can't change while it runs, to say so when a new configuration differs.
-    fixed: ImmutableSettings,
+    longest_deadline: Span,
+    /// The settings that need a restart, for a warning when a new configuration changes them.
+    immutable: ImmutableSettings,
     source: ConfigSource,
-    /// Since when it is going down.
-    leaving: Option<Time>,
-    /// When it was told to read its configuration anew, until it has.
-    reload_since: Option<Time>,
-    reload: Option<DeadlineId>,
-    /// Waits in a row that failed.
+    /// When the shutdown began.
+    shutdown_since: Option<Time>,
+    /// When a reload was requested that is not done yet.
+    reload_requested: Option<Time>,
+    reload_timer: Option<DeadlineId>,
+    /// How many waits in a row have failed.
     failed_waits: u32,
     /// When the first of them failed.
-    blind_since: Option<Time>,
-    /// When it last looked at everything without a wait.
-    looked: Time,
+    waits_failing_since: Option<Time>,
+    /// When all sockets were last checked without a wait.
+    last_socket_check: Time,
 }
 
-/// Listens, at the socket that was handed over if there is one. `shared` lets another process do so too.
+/// Opens the listener, from the socket that was handed over if there is one. With `reuse_port` another
+/// process can listen on the same address.
 fn listen(
     config: &Config,
-    handed: Option<&std::net::TcpListener>,
-    shared: bool,
+    handed_over: Option<&std::net::TcpListener>,
+    reuse_port: bool,
     registry: &Registry,
 ) -> io::Result<TcpListener> {
     let bind = || {
         let socket = Socket::new(Domain::for_address(config.listen), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
-        socket.set_reuse_port(shared)?;
+        socket.set_reuse_port(reuse_port)?;
         socket.bind(&config.listen.into())?;
-        // Guards against connections dropped unseen while the loop is busy: the usual 128 are soon waiting.
-        socket.listen(BACKLOG)?;
+        // With the usual backlog of 128 the kernel dropped connections while the loop was busy.
+        socket.listen(LISTEN_BACKLOG)?;
         Ok(socket.into())
     };
-    let listener: std::net::TcpListener = handed.map_or_else(bind, std::net::TcpListener::try_clone)?;
+    let listener: std::net::TcpListener = handed_over.map_or_else(bind, std::net::TcpListener::try_clone)?;
     listener.set_nonblocking(true)?;
     let mut listener = TcpListener::from_std(listener);
     registry.register(&mut listener, Owner::Listener.token(), Interest::READABLE)?;
@@ -154,26 +158,29 @@
 }
 
 impl Proxy {
-    /// `source` is where the configuration came from, to be read again on SIGHUP.
+    /// `source` is where `config` was read from; it is read again on SIGHUP.
     pub fn new(config: Config, source: ConfigSource, mut signals: SignalQueue) -> Result<Proxy, String> {
         let poll = retry_transient(Poll::new).map_err(|e| format!("cannot poll: {e}"))?;
         let registry =
             retry_transient(|| poll.registry().try_clone()).map_err(|e| format!("cannot poll: {e}"))?;
-        retry_transient(|| signals.register(&registry)).map_err(|e| format!("cannot hear signals: {e}"))?;
-        // An address that is only found at the start is no name to be found by.
+        retry_transient(|| signals.register(&registry))
+            .map_err(|e| format!("cannot watch for signals: {e}"))?;
+        // A port that the system assigns at startup cannot identify the socket of the handover.
         let managed = config.management.is_some();
-        let (path, wanted) = (handover::socket_path(config.listen), managed && config.listen.port() != 0);
-        let taken = if wanted { handover::take_over(&path, config.listen) } else { Ok(None) };
-        let taken = taken.unwrap_or_else(|why| {
-            tracing::warn!(why, "starting without what the process before had");
+        let (path, can_hand_over) =
+            (handover::socket_path(config.listen), managed && config.listen.port() != 0);
+        let received = if can_hand_over { handover::take_over(&path, config.listen) } else { Ok(None) };
+        let received = received.unwrap_or_else(|why| {
+            tracing::warn!(why, "starting without the state of the previous process");
             None
         });
-        let (handed, state, before) = taken.map(handover::ReceivedHandover::into_parts).map_or_else(
-            || (None, HandoverState::default(), None),
-            |(listener, state, before)| (listener, state, Some(before)),
-        );
-        let joined = handed.is_some();
-        let listener = retry_transient(|| listen(&config, handed.as_ref(), managed, &registry));
+        let (handed_over, state, predecessor) =
+            received.map(handover::ReceivedHandover::into_parts).map_or_else(
+                || (None, HandoverState::default(), None),
+                |(listener, state, predecessor)| (listener, state, Some(predecessor)),
+            );
+        let shares_listener = handed_over.is_some();
+        let listener = retry_transient(|| listen(&config, handed_over.as_ref(), managed, &registry));
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
 
         let clock = Clock::start();
@@ -193,62 +200,64 @@
             streaming_bytes,
         };
         let management = ManagementServer::new(config.management, &io)?;
-        let handover = Handover::new(path, wanted, before, &mut io);
+        let handover = Handover::new(path, can_hand_over, predecessor, &mut io);
         let budgets = [config.budgets, config.overlap_budgets];
-        let now_budgets = budgets[usize::from(handover.is_overlapping())];
+        let initial_budgets = budgets[usize::from(handover.is_overlapping())];
         let mut setup = config.setup;
         let peers = Peers::new(setup.peer_addresses, setup.settings.ordinal, managed, &io)?;
-        // Nothing is said where nobody's address is known.
+        // Without any peer's address there is nobody to send messages to.
         setup.settings.peer_messages &= peers.has_peers() || setup.fleet.is_some();
         let zone = setup.zone_names.get(usize::from(setup.settings.zone.0)).map_or("", String::as_str);
-        let about = (config.name.as_str(), zone, setup.settings.instances);
-        let fleet = Fleet::new(setup.fleet.as_ref(), about, config.seed, managed);
-        let fleet_address = setup.fleet.as_ref().map(|found| found.address);
+        let identity = (config.name.as_str(), zone, setup.settings.instances);
+        let fleet = Fleet::new(setup.fleet.as_ref(), identity, config.seed, managed);
+        let fleet_address = setup.fleet.as_ref().map(|fleet| fleet.address);
         if setup.fleet.is_some() {
-            // Not the place among those that are there: whoever comes or goes would move everybody's part.
+            // Derived from the name, not from the position among the present members: otherwise each member
+            // that joins or leaves would change the share of all others.
             setup.settings.ordinal = fleet::ordinal(&config.name);
         }
         let ordinal = setup.settings.ordinal;
         let deadlines: Vec<_> = setup.settings.classes.iter().map(|class| class.deadline).collect();
-        let longest = deadlines.iter().copied().max().unwrap_or_default();
+        let longest_deadline = deadlines.iter().copied().max().unwrap_or_default();
         let method = |effect| if effect == Effect::Safe { "GET" } else { "POST" };
         let methods = setup.settings.classes.iter().map(|class| method(class.effect)).collect();
         let (names, tenants) = (setup.class_names, setup.tenant_names);
         let classes = Classes { names, deadlines, methods, tenants };
-        let clients = Clients::new(Some(listener), joined, classes, now_budgets);
-        let pool = Pool::new(now_budgets, setup.connect_timeout, setup.backend_idle_timeout);
-        // Versions are an agent's own; of two lists of one agent the newer one counts.
-        let handed = state.list.filter(|_| state.agent == config.discovery).map(HandoverList::into_list);
-        let newer = |list: &BackendList| {
-            config.initial_list.as_ref().is_none_or(|known| known.version <= list.version)
+        let clients = Clients::new(Some(listener), shares_listener, classes, initial_budgets);
+        let pool = Pool::new(initial_budgets, setup.connect_timeout, setup.backend_idle_timeout);
+        // Versions can only be compared between lists of the same agent; there the newer list is used.
+        let handed_over_list =
+            state.list.filter(|_| state.agent == config.discovery).map(HandoverList::into_list);
+        let is_newer = |list: &BackendList| {
+            config.initial_list.as_ref().is_none_or(|initial| initial.version <= list.version)
         };
-        let known = handed.filter(newer).or(config.initial_list);
-        let version = known.as_ref().map(|known| known.version);
-        let chance = f64::from(Rand32::new(config.seed).rand_float());
+        let initial_list = handed_over_list.filter(is_newer).or(config.initial_list);
+        let version = initial_list.as_ref().map(|list| list.version);
+        let jitter = f64::from(Rand32::new(config.seed).rand_float());
         let pushed = !setup.settings.list_on_request;
-        let discovery = Discovery::new(config.discovery, pushed, setup.zone_names, version, chance);
+        let discovery = Discovery::new(config.discovery, pushed, setup.zone_names, version, jitter);
         let check_path = if setup.load_columns.in_flight.or(setup.load_columns.queued).is_some() {
             "/status/load"
         } else {
             "/health"
         };
-        if let Some(known) = known {
-            io.events.push_back(ProxyEvent::ListReceived(known, None));
+        if let Some(list) = initial_list {
+            io.events.push_back(ProxyEvent::ListReceived(list, None));
         }
         let mut actions = Vec::new();
         let balancer = Balancer::new(setup.settings, config.seed, now, &mut actions);
-        let (held, held_bytes, leaving) = (Slots::default(), 0, None);
+        let (pending, buffered_bytes, shutdown_since) = (Slots::default(), 0, None);
         let mut proxy = Proxy {
             poll,
             clock,
-            polled: now,
+            last_wait_end: now,
             signals,
             io,
             balancer,
             actions,
             clients,
-            held,
-            held_bytes,
+            pending,
+            buffered_bytes,
             pool,
             discovery,
             start_times: StartTimes::default(),
@@ -259,28 +268,29 @@
             ordinal,
             budgets,
             check_path,
-            longest,
-            fixed: config.immutable,
+            longest_deadline,
+            immutable: config.immutable,
             source,
-            leaving,
-            reload_since: None,
-            reload: None,
+            shutdown_since,
+            reload_requested: None,
+            reload_timer: None,
             failed_waits: 0,
-            blind_since: None,
-            looked: now,
+            waits_failing_since: None,
+            last_socket_check: now,
         };
-        proxy.carry_out();
-        proxy.pump();
-        for barred in state.disabled {
-            proxy.bar(control_messages::backend_id(barred), true);
+        proxy.perform_actions();
+        proxy.dispatch_events();
+        for backend in state.disabled {
+            proxy.set_disabled(control_messages::backend_id(backend), true);
         }
         if pushed {
             proxy.discovery.watch(&mut proxy.io);
         }
         proxy.fleet.set_overlapping(proxy.handover.is_overlapping(), &mut proxy.io);
-        let told = retry_transient(|| proxy.fleet.start(&mut proxy.io));
-        let told = told.map_err(|e| format!("cannot listen for the fleet on {fleet_address:?}: {e}"))?;
-        proxy.told(told);
+        let fleet_events = retry_transient(|| proxy.fleet.start(&mut proxy.io));
+        let fleet_events =
+            fleet_events.map_err(|e| format!("cannot listen for the fleet on {fleet_address:?}: {e}"))?;
+        proxy.handle_fleet_events(fleet_events);
         let listen = proxy.clients.address().unwrap_or(config.listen);
         match proxy.management.address() {
             Some(management) => tracing::info!(name = config.name, %management, %listen, "serving"),
@@ -289,195 +299,200 @@
         Ok(proxy)
     }
 
-    /// Serves until it is told to go and all is answered.
+    /// Serves until it is told to shut down and all requests have their responses.
     pub fn run(mut self) -> io::Result<()> {
-        // All descriptors at once: guards against one's end waiting in the kernel behind a flood of others.
+        // Room for an event of every descriptor: otherwise the end of a connection can wait in the kernel
+        // behind a flood of other events.
         let mut events = Events::with_capacity(self.budgets[0].total + RESERVED_SOCKETS);
-        while !self.done() {
+        while !self.is_shut_down() {
             if self.signals.has_pending() {
-                self.signalled();
-                self.pump();
+                self.handle_signals();
+                self.dispatch_events();
             }
-            let before = self.clock.now();
-            let wait = self.io.deadlines.time_to_next(before);
+            let wait_start = self.clock.now();
+            let wait = self.io.deadlines.time_to_next(wait_start);
             match self.poll.poll(&mut events, wait) {
-                Err(e) => self.wait_failed(e, before)?,
+                Err(e) => self.handle_failed_wait(e, wait_start)?,
                 Ok(()) => self.failed_waits = 0,
             }
             self.io.now = self.clock.now();
-            // If it hardly waited, what is there may have come at any time since the last turn; if it slept
-            // for longer than it meant to, at any time since it should have woken.
-            let waited = self.io.now.since(before);
-            let meant = wait.map_or(waited, |wait| Span::from_ms(wait.as_secs_f64() * 1000.0));
-            let long = waited > meant + OVERSLEPT;
+            // After a wait of almost no time, the data may have arrived at any time since the previous wait;
+            // after one that overslept, at any time since it should have ended.
+            let waited = self.io.now.since(wait_start);
+            let planned = wait.map_or(waited, |wait| Span::from_ms(wait.as_secs_f64() * 1000.0));
+            let overslept = waited > planned + OVERSLEEP_TOLERANCE;
             self.io.earliest_arrival = match waited > Span::from_ms(0.05) {
-                true if long => before + meant,
+                true if overslept => wait_start + planned,
                 true => self.io.now,
-                false => self.polled,
+                false => self.last_wait_end,
             };
-            // What no wait could tell of may have come since the first one that failed.
-            if let Some(blind) = self.blind_since.filter(|_| self.failed_waits == 0) {
-                self.io.earliest_arrival = self.io.earliest_arrival.min(blind);
-                self.blind_since = None;
+            // After failed waits, the data may have arrived at any time since the first of them.
+            if let Some(since) = self.waits_failing_since.filter(|_| self.failed_waits == 0) {
+                self.io.earliest_arrival = self.io.earliest_arrival.min(since);
+                self.waits_failing_since = None;
             }
-            self.polled = self.io.now;
-            if self.blind_since.is_some_and(|since| self.io.now >= since + LOOK_PAUSE) {
-                self.look_everywhere();
+            self.last_wait_end = self.io.now;
+            if self.waits_failing_since.is_some_and(|since| self.io.now >= since + SOCKET_CHECK_PAUSE) {
+                self.check_all_sockets();
             }
-            for owner in self.in_order(&events) {
-                self.event(owner);
-                self.pump();
+            for owner in self.prioritize(&events) {
+                self.handle_ready(owner);
+                self.dispatch_events();
             }
-            let set = self.io.deadlines.last_sequence();
-            while let Some(due) = self.io.deadlines.pop_due(self.io.now, set) {
-                self.due(due);
-                self.pump();
+            let last_sequence = self.io.deadlines.last_sequence();
+            while let Some(timer) = self.io.deadlines.pop_due(self.io.now, last_sequence) {
+                self.handle_timer(timer);
+                self.dispatch_events();
             }
         }
         self.handover.remove_socket();
-        tracing::info!(counters = %self.io.counters, "gone");
+        tracing::info!(counters = %self.io.counters, "stopped");
         Ok(())
     }
 
-    /// Operators first: guards against a call of theirs waiting behind a flood of callers. Then the callers that are
-    /// gone: guards against a place that falls free in the same turn going to a request that nobody waits for.
-    fn in_order(&mut self, events: &Events) -> Vec<Owner> {
-        let [mut first, mut gone, mut rest] = [Vec::new(), Vec::new(), Vec::new()];
+    /// The order in which ready sockets are handled. Operators come first, so that their requests do not wait
+    /// behind a flood of clients. Clients that have closed come next, so that capacity that becomes free in
+    /// the same turn does not go to a request for which nobody waits.
+    fn prioritize(&mut self, events: &Events) -> Vec<Owner> {
+        let [mut admin, mut closed, mut rest] = [Vec::new(), Vec::new(), Vec::new()];
         for event in events {
             match Owner::from_token(event.token()) {
-                owner @ (Owner::Management | Owner::Call(_)) => first.push(owner),
+                owner @ (Owner::Management | Owner::Call(_)) => admin.push(owner),
                 owner @ Owner::Client(slot) if event.is_read_closed() => {
-                    self.clients.hung_up(slot);
-                    gone.push(owner);
+                    self.clients.mark_hung_up(slot);
+                    closed.push(owner);
                 }
                 owner => rest.push(owner),
             }
         }
-        first.extend(gone);
-        first.extend(rest);
-        first
+        admin.extend(closed);
+        admin.extend(rest);
+        admin
     }
 
-    fn event(&mut self, owner: Owner) {
+    fn handle_ready(&mut self, owner: Owner) {
         self.io.now = self.clock.now();
         match owner {
             Owner::Listener => self.clients.accept(&mut self.io),
-            Owner::Signals => self.signalled(),
+            Owner::Signals => self.handle_signals(),
             Owner::Discovery(turn) => self.discovery.handle_event(turn, &mut self.io),
-            Owner::Client(slot) => self.clients.event(slot, &mut self.io),
+            Owner::Client(slot) => self.clients.handle_ready(slot, &mut self.io),
             Owner::Conn(slot) => self.pool.handle_ready(slot, &mut self.io),
             Owner::Management => self.management.accept(&mut self.io),
             Owner::Call(slot) => self.management.handle_event(slot, &mut self.io),
             Owner::Handover => self.hand_over(),
             Owner::Peer(slot) => self.handover.handle_event(slot, &mut self.io),
-            Owner::Peers => self.hear(),
-            Owner::Fleet => self.fleet_hear(),
+            Owner::Peers => self.receive_peer_messages(),
+            Owner::Fleet => self.receive_fleet_messages(),
         }
     }
 
-    fn due(&mut self, due: TimerEvent) {
+    fn handle_timer(&mut self, timer: TimerEvent) {
         self.io.now = self.clock.now();
-        match due {
-            TimerEvent::Balancer(id) => self.decide(Event::TimerExpired(id)),
-            TimerEvent::RequestDeadline(request) => self.deadline_passed(request),
-            TimerEvent::ClientTimeout(slot) => self.clients.due(slot, &mut self.io),
-            TimerEvent::Recheck(owner) => self.event(owner),
+        match timer {
+            TimerEvent::Balancer(id) => self.handle_event(Event::TimerExpired(id)),
+            TimerEvent::RequestDeadline(request) => self.deadline_expired(request),
+            TimerEvent::ClientTimeout(slot) => self.clients.handle_timer(slot, &mut self.io),
+            TimerEvent::Recheck(owner) => self.handle_ready(owner),
             TimerEvent::ConnectTimeout(slot) => self.pool.connect_timed_out(slot, &mut self.io),
             TimerEvent::StartStreaming(slot) => self.pool.start_streaming_due(slot, &mut self.io),
             TimerEvent::AttemptTimeout(slot) => self.pool.attempt_timed_out(slot, &mut self.io),
             TimerEvent::IdleTimeout(slot) => self.pool.idle_timed_out(slot, &mut self.io),
             TimerEvent::Discovery => self.discovery.handle_timer(&mut self.io),
-            TimerEvent::Shutdown => self.leave(),
+            TimerEvent::Shutdown => self.continue_shutdown(),
             TimerEvent::Reload => self.reload(),
             TimerEvent::AdminTimeout(slot) => self.management.close(slot, &mut self.io),
             TimerEvent::Fleet => {
-                let told = self.fleet.handle_timer(&mut self.io);
-                self.told(told);
+                let events = self.fleet.handle_timer(&mut self.io);
+                self.handle_fleet_events(events);
             }
-            TimerEvent::JoinFleet => self.share_fleet(),
+            TimerEvent::JoinFleet => self.update_fleet(),
             TimerEvent::Duties => self.fleet.handle_duties_timer(&mut self.io),
         }
     }
 
-    /// What peers say; a few at a time, so that a flood of it keeps nobody else waiting.
-    fn hear(&mut self) {
-        let (heard, more) = self.peers.receive();
-        for (from, bytes) in heard {
+    /// Receives a few messages of peers at a time, so that a flood of them does not delay everything else.
+    fn receive_peer_messages(&mut self) {
+        let (messages, more) = self.peers.receive();
+        for (from, bytes) in messages {
             self.io.counters.peer_messages += 1;
-            self.decide(Event::PeerMessage { from, bytes });
+            self.handle_event(Event::PeerMessage { from, bytes });
         }
         if more {
             self.io.deadlines.set(self.io.now, TimerEvent::Recheck(Owner::Peers));
         }
     }
 
-    fn fleet_hear(&mut self) {
-        let told = self.fleet.receive(&mut self.io);
-        self.told(told);
+    fn receive_fleet_messages(&mut self) {
+        let events = self.fleet.receive(&mut self.io);
+        self.handle_fleet_events(events);
     }
 
-    /// What the fleet comes to for the decisions.
-    fn told(&mut self, told: Vec<FleetEvent>) {
-        for told in told {
-            match told {
+    /// Passes the fleet's events on to the balancer.
+    fn handle_fleet_events(&mut self, events: Vec<FleetEvent>) {
+        for event in events {
+            match event {
                 FleetEvent::MemberCountChanged(instances) => {
-                    self.decide(Event::InstancesChanged { instances, ordinal: self.ordinal })
+                    self.handle_event(Event::InstancesChanged { instances, ordinal: self.ordinal })
                 }
                 FleetEvent::PeerMessage(from, bytes) => {
                     self.io.counters.peer_messages += 1;
-                    self.decide(Event::PeerMessage { from, bytes });
+                    self.handle_event(Event::PeerMessage { from, bytes });
                 }
             }
         }
     }
 
-    /// One member and not two: while the next process is there, it is the one.
-    fn share_fleet(&mut self) {
+    /// Starts or stops this process's membership in the fleet: during a handover only the successor is a
+    /// member.
+    fn update_fleet(&mut self) {
         self.fleet.set_overlapping(self.handover.is_overlapping(), &mut self.io);
         if self.handover.has_successor() {
             self.fleet.stop_for_successor(&mut self.io);
-        } else if !self.fleet.is_running() && self.leaving.is_none() {
+        } else if !self.fleet.is_running() && self.shutdown_since.is_none() {
             match self.fleet.start(&mut self.io) {
-                Ok(told) => self.told(told),
+                Ok(events) => self.handle_fleet_events(events),
                 Err(error) => {
-                    tracing::warn!(%error, "serving on without the fleet, joining again later");
-                    self.io.deadlines.set(self.io.now + JOIN_PAUSE, TimerEvent::JoinFleet);
+                    tracing::warn!(%error, "could not join the fleet, serving without it and retrying");
+                    self.io.deadlines.set(self.io.now + FLEET_JOIN_RETRY_PAUSE, TimerEvent::JoinFleet);
                 }
             }
         }
     }
 
-    /// Hands on all notes that the parts have left.
-    fn pump(&mut self) {
-        while let Some(note) = self.io.events.pop_front() {
-            match note {
-                ProxyEvent::RequestReceived(client, incoming) => self.taken(client, incoming),
-                ProxyEvent::ClientGone(request) => self.left(request),
-                ProxyEvent::ResponseStarted(begun) => self.began(begun),
-                ProxyEvent::RequestBodyReady(request) => self.up(request),
-                ProxyEvent::ResponseBodyReady(request) => self.down(request),
-                ProxyEvent::SendFailed(backend) => self.decide(Event::SendFailed(backend)),
-                ProxyEvent::JobEnded(done) => self.ended(done),
-                ProxyEvent::ListReceived(list, before) => self.listed(list, before),
-                ProxyEvent::ListFailed => self.decide(Event::ListFailed),
-                ProxyEvent::AdminRequestReceived(slot, call) => self.called(slot, call),
+    /// Handles all queued events.
+    fn dispatch_events(&mut self) {
+        while let Some(event) = self.io.events.pop_front() {
+            match event {
+                ProxyEvent::RequestReceived(client, incoming) => self.receive_request(client, incoming),
+                ProxyEvent::ClientGone(request) => self.client_gone(request),
+                ProxyEvent::ResponseStarted(response) => self.start_response(response),
+                ProxyEvent::RequestBodyReady(request) => self.forward_request_body(request),
+                ProxyEvent::ResponseBodyReady(request) => self.forward_response_body(request),
+                ProxyEvent::SendFailed(backend) => self.handle_event(Event::SendFailed(backend)),
+                ProxyEvent::JobEnded(job) => self.job_ended(job),
+                ProxyEvent::ListReceived(list, previous_version) => self.apply_list(list, previous_version),
+                ProxyEvent::ListFailed => self.handle_event(Event::ListFailed),
+                ProxyEvent::AdminRequestReceived(slot, request) => self.handle_admin_request(slot, request),
                 ProxyEvent::HandoverPeerChanged => {
-                    self.share();
-                    self.share_fleet();
+                    self.apply_budgets();
+                    self.update_fleet();
                 }
-                ProxyEvent::HandoverMessage(HandoverMessage::SetDisabled { backend, disabled: barred }) => {
-                    self.bar(control_messages::backend_id(backend), barred)
+                ProxyEvent::HandoverMessage(HandoverMessage::SetDisabled { backend, disabled }) => {
+                    self.set_disabled(control_messages::backend_id(backend), disabled)
                 }
                 ProxyEvent::HandoverMessage(HandoverMessage::State(_)) => {}
             }
         }
     }
 
-    fn called(&mut self, slot: AdminSlot, call: AdminRequest) {
-        let (status, text) = match call {
-            AdminRequest::Ready if self.clients.ready && self.leaving.is_none() => (200, String::new()),
+    fn handle_admin_request(&mut self, slot: AdminSlot, request: AdminRequest) {
+        let (status, body) = match request {
+            AdminRequest::Ready if self.clients.ready && self.shutdown_since.is_none() => {
+                (200, String::new())
+            }
             AdminRequest::Ready => (503, String::new()),
-            AdminRequest::Metrics => (200, self.figures()),
+            AdminRequest::Metrics => (200, self.metrics()),
             AdminRequest::SetDutyPaused { name, paused } => {
                 if self.fleet.set_duty_paused(&name, paused, &mut self.io) {
                     (200, String::new())
@@ -489,49 +504,47 @@
                 Some(json) => (200, json),
                 None => (404, "no fleet is configured, or the next process is its member\n".to_string()),
             },
-            AdminRequest::SetBackendDisabled { host, disabled: barred } => {
+            AdminRequest::SetBackendDisabled { host, disabled } => {
                 let backend = backend_id(&host);
-                let out = self.balancer.disabled().any(|out| out == backend);
-                if out || self.pool.is_listed(backend) {
-                    self.bar(backend, barred);
+                let is_disabled = self.balancer.disabled().any(|other| other == backend);
+                if is_disabled || self.pool.is_listed(backend) {
+                    self.set_disabled(backend, disabled);
                     (200, String::new())
                 } else {
                     (404, format!("the list has no backend {host:?}\n"))
                 }
             }
         };
-        self.management.respond(slot, status, "", &text, &mut self.io);
+        self.management.respond(slot, status, "", &body, &mut self.io);
     }
 
-    fn figures(&self) -> String {
-        let counts = self.io.counters.report(self.clients.names());
+    fn metrics(&self) -> String {
+        let counts = self.io.counters.report(self.clients.class_names());
         let corrected = self.start_times.corrected;
-        let (in_flight, known) = (self.clients.in_flight(), self.pool.listed_count());
-        let out = self.balancer.excluded_count();
+        let (in_flight, known) = (self.clients.in_flight_count(), self.pool.listed_count());
+        let excluded = self.balancer.excluded_count();
         let (fleet, clients) = (self.fleet.metrics(self.io.now), self.clients.report());
-        format!("{counts}{fleet}{clients}svc.in_flight:{in_flight}|g\nsvc.backends_known:{known}|g\nsvc.backends_excluded:{out}|g\nsvc.start_times_corrected:{corrected}|c\n")
+        format!("{counts}{fleet}{clients}svc.in_flight:{in_flight}|g\nsvc.backends_known:{known}|g\nsvc.backends_excluded:{excluded}|g\nsvc.start_times_corrected:{corrected}|c\n")
     }
 
-    /// Leaves a backend out, or lets it serve again, in the process beside this one too.
-    fn bar(&mut self, backend: BackendId, barred: bool) {
-        if self.balancer.disabled().any(|out| out == backend) == barred {
+    /// Disables or enables a backend, also in the other process of a handover.
+    fn set_disabled(&mut self, backend: BackendId, disabled: bool) {
+        if self.balancer.disabled().any(|other| other == backend) == disabled {
             return;
         }
-        tracing::info!(host = self.pool.host(backend), barred, "told by hand");
-        self.decide(Event::SetDisabled { backend, disabled: barred });
-        let word = HandoverMessage::SetDisabled {
-            backend: control_messages::backend_key(backend),
-            disabled: barred,
-        };
-        self.handover.broadcast(&word, &mut self.io);
+        tracing::info!(host = self.pool.host(backend), barred = disabled, "set by an operator");
+        self.handle_event(Event::SetDisabled { backend, disabled });
+        let message =
+            HandoverMessage::SetDisabled { backend: control_messages::backend_key(backend), disabled };
+        self.handover.broadcast(&message, &mut self.io);
     }
 
-    fn listed(&mut self, mut list: BackendList, before: Option<u64>) {
+    fn apply_list(&mut self, mut list: BackendList, previous_version: Option<u64>) {
         let ready = self.pool.ready_count();
-        let odd = list.anomalies(ready, before);
-        if !odd.is_empty() {
+        let anomalies = list.anomalies(ready, previous_version);
+        if !anomalies.is_empty() {
             self.io.counters.suspicious_lists += 1;
-            tracing::warn!(version = list.version, ready, "odd list: {}", odd.join("; "));
+            tracing::warn!(version = list.version, ready, "suspicious list: {}", anomalies.join("; "));
         }
         if list.is_suspiciously_empty(ready) {
             return;
@@ -542,47 +555,48 @@
             self.clients.set_ready(&mut self.io);
         }
         self.pool.update_list(list.full, &list.entries, &mut self.io);
-        self.decide(Event::ListReceived { full: list.full, listings });
+        self.handle_event(Event::ListReceived { full: list.full, listings });
     }
 
-    fn decide(&mut self, event: Event) {
+    /// Reports an event to the balancer and carries out the resulting actions.
+    fn handle_event(&mut self, event: Event) {
         self.balancer.handle(self.io.now, event, &mut self.actions);
-        self.carry_out();
+        self.perform_actions();
     }
 
-    fn carry_out(&mut self) {
+    fn perform_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Attempt { request, backend, timeout, start_by } => {
-                    self.attempt(request, backend, timeout, start_by);
+                    self.start_attempt(request, backend, timeout, start_by);
                 }
                 Action::Refuse { request, backoff, reason } => {
                     self.io.counters.refused += 1;
-                    self.say_unserved(request, reason);
-                    self.answer(request, 503, backoff);
+                    self.log_unserved(request, reason);
+                    self.respond(request, 503, backoff);
                 }
                 Action::Fail { request, reason } => {
                     self.io.counters.failed += 1;
-                    self.say_unserved(request, reason);
-                    self.answer(request, 502, None);
+                    self.log_unserved(request, reason);
+                    self.respond(request, 502, None);
                 }
                 Action::Cancel { request, attempt } => {
-                    let held = self.held.get(RequestSlot::from_number(request.0));
-                    let out = held.and_then(|held| *held.attempts.get(usize::from(attempt.0))?);
-                    if let Some(slot) = out {
+                    let pending = self.pending.get(RequestSlot::from_number(request.0));
+                    let conn = pending.and_then(|pending| *pending.attempts.get(usize::from(attempt.0))?);
+                    if let Some(slot) = conn {
                         self.pool.cancel(slot, &mut self.io);
                     }
                 }
                 Action::SetTimeout { request, timeout, .. } => {
                     let until = self.io.now + timeout;
-                    if let Some(slot) = self.out(request) {
+                    if let Some(slot) = self.active_connection(request) {
                         self.pool.set_attempt_timeout(slot, until, &mut self.io);
                     }
                 }
                 Action::SetTimer { after, id } => {
                     self.io.deadlines.set(self.io.now + after, TimerEvent::Balancer(id));
                 }
-                Action::Check { backend } => self.check(backend),
+                Action::Check { backend } => self.send_check(backend),
                 Action::Withdraw { backend } => self.pool.withdraw(backend, &mut self.io),
                 Action::CloseIdle { backend } => self.pool.close_idle(backend, &mut self.io),
                 Action::WatchList { on: true } => self.discovery.watch(&mut self.io),
--- a/crates/proxy/src/proxy/lifecycle.rs
+++ b/crates/proxy/src/proxy/lifecycle.rs
@@ -1,8 +1,10 @@
-//! Signals, new configurations, the handover and the end of the process.
+//! Signals, configuration reloads, the handover to another process, shutdown, and failures of the wait for
+//! events.
 
 use super::{
-    Proxy, ACCEPT_ON, DRAIN_PAUSE, FAILED_WAITS_MOST, FAILED_WAIT_PAUSE, GONE_BY, INTERRUPTED_PAUSE,
-    INTERRUPTIONS_MOST, LASTED, LOOK_PAUSE, RELOAD_FOR, RELOAD_PAUSE, RELOAD_PAUSE_MOST,
+    Proxy, CONCLUSIVE_WAIT, FAILED_WAIT_PAUSE, INTERRUPTED_WAIT_PAUSE, LISTENER_DRAIN_PAUSE,
+    MAX_FAILED_WAITS, MAX_INTERRUPTED_WAITS, MAX_RELOAD_RETRY_PAUSE, MIN_RELOAD_RETRY_PAUSE,
+    RELOAD_RETRY_TIME, SHUTDOWN_ACCEPT_TIME, SHUTDOWN_GRACE, SOCKET_CHECK_PAUSE,
 };
 use crate::config::{Config, ConfigError};
 use crate::control_messages::{self, HandoverState};
@@ -14,80 +16,85 @@
 use std::io;
 
 impl Proxy {
-    pub(super) fn signalled(&mut self) {
+    pub(super) fn handle_signals(&mut self) {
         for signal in self.signals.take_pending() {
             tracing::info!(signal, counters = %self.io.counters, "signal");
             if signal == SIGHUP {
-                self.reload_since = Some(self.io.now);
+                self.reload_requested = Some(self.io.now);
                 self.reload();
             }
-            if matches!(signal, SIGTERM | SIGINT) && self.leaving.is_none() {
-                self.leaving = Some(self.io.now);
-                self.clients.leaving = true;
-                self.clients.ends_at = Some(self.io.now + ACCEPT_ON + self.longest);
+            if matches!(signal, SIGTERM | SIGINT) && self.shutdown_since.is_none() {
+                self.shutdown_since = Some(self.io.now);
+                self.clients.shutting_down = true;
+                self.clients.shutdown_deadline =
+                    Some(self.io.now + SHUTDOWN_ACCEPT_TIME + self.longest_deadline);
                 if self.handover.has_successor() {
                     self.clients.stop_listening(true, &mut self.io);
                 } else {
                     self.fleet.leave(&mut self.io);
                 }
-                self.io.deadlines.set(self.io.now + ACCEPT_ON, TimerEvent::Shutdown);
-                self.io.deadlines.set(self.io.now + ACCEPT_ON + self.longest + GONE_BY, TimerEvent::Shutdown);
+                self.io.deadlines.set(self.io.now + SHUTDOWN_ACCEPT_TIME, TimerEvent::Shutdown);
+                self.io.deadlines.set(
+                    self.io.now + SHUTDOWN_ACCEPT_TIME + self.longest_deadline + SHUTDOWN_GRACE,
+                    TimerEvent::Shutdown,
+                );
             }
         }
     }
 
-    /// Reads the configuration anew. What can't be used changes nothing.
+    /// Reads the configuration again. An unusable configuration changes nothing.
     pub(super) fn reload(&mut self) {
         let config = match Config::read(&self.source) {
             Ok(config) => config,
-            Err(error) => return self.reload_failed(&error),
+            Err(error) => return self.handle_reload_failure(&error),
         };
-        self.reload_since = None;
-        self.io.deadlines.cancel(self.reload.take());
-        let (discovery, restart) = (config.discovery, config.immutable != self.fixed);
+        self.reload_requested = None;
+        self.io.deadlines.cancel(self.reload_timer.take());
+        let (discovery, needs_restart) = (config.discovery, config.immutable != self.immutable);
         self.budgets = [config.budgets, config.overlap_budgets];
-        self.share();
+        self.apply_budgets();
         let moved = self.discovery.set_agent(discovery, &mut self.io);
         if let (None, Some(list)) = (discovery, config.initial_list) {
             self.io.events.push_back(ProxyEvent::ListReceived(list, None));
         }
         let discovery = discovery.map_or("a list in the file".to_string(), |agent| agent.to_string());
-        tracing::info!(discovery, moved, "configuration read anew");
-        if restart {
-            tracing::warn!("name, listen and settings stay as they were until a restart");
+        tracing::info!(discovery, moved, "configuration reloaded");
+        if needs_restart {
+            tracing::warn!("changes of name, listen and settings take effect only after a restart");
         }
     }
 
-    /// Guards against a new configuration that is lost because its file could not be read in the moment of the signal.
-    pub(super) fn reload_failed(&mut self, error: &ConfigError) {
+    /// Retries after transient failures: a new configuration must not be lost because its file could not be
+    /// read at the moment of the signal.
+    pub(super) fn handle_reload_failure(&mut self, error: &ConfigError) {
         if let ConfigError::Unreadable { error, .. } = error {
             self.io.counters.failures.count(SystemCall::Configuration, error);
         }
-        let Some(since) = self.reload_since else { return };
-        let passed = self.io.now.since(since);
-        let again = error.is_transient() && passed < RELOAD_FOR;
-        if passed == Span::ZERO || !again {
-            tracing::warn!(why = %error, again, "configuration kept as it was");
+        let Some(since) = self.reload_requested else { return };
+        let elapsed = self.io.now.since(since);
+        let retry = error.is_transient() && elapsed < RELOAD_RETRY_TIME;
+        if elapsed == Span::ZERO || !retry {
+            tracing::warn!(why = %error, again = retry, "configuration kept as it was");
         }
-        if again {
-            // Soon at first, then at longer intervals.
-            let pause = passed.max(RELOAD_PAUSE).min(RELOAD_PAUSE_MOST);
-            self.io.deadlines.cancel(self.reload.take());
-            self.reload = Some(self.io.deadlines.set(self.io.now + pause, TimerEvent::Reload));
+        if retry {
+            // The pause grows with the elapsed time.
+            let pause = elapsed.max(MIN_RELOAD_RETRY_PAUSE).min(MAX_RELOAD_RETRY_PAUSE);
+            self.io.deadlines.cancel(self.reload_timer.take());
+            self.reload_timer = Some(self.io.deadlines.set(self.io.now + pause, TimerEvent::Reload));
         } else {
-            self.reload_since = None;
+            self.reload_requested = None;
         }
     }
 
-    /// Takes the budgets of a proxy that is one process, or one of two.
-    pub(super) fn share(&mut self) {
+    /// Applies the budgets for one process, or for one of two during a handover.
+    pub(super) fn apply_budgets(&mut self) {
         let budgets = self.budgets[usize::from(self.handover.is_overlapping())];
         self.clients.set_budgets(budgets);
         self.pool.set_budgets(budgets);
         self.io.streaming_bytes = budgets.buffer_bytes / 2;
     }
 
-    /// Hands over to a process that has come to take this one's place.
+    /// Hands the listener and the state over to a successor process.
     pub(super) fn hand_over(&mut self) {
         let state = || {
             let (agent, version) = self.discovery.agent_and_version();
@@ -101,55 +108,57 @@
         self.handover.accept(self.clients.listener(), state, &mut self.io);
     }
 
-    pub(super) fn leave(&mut self) {
+    /// Takes the next step of the shutdown; called again until the accept queue is drained.
+    pub(super) fn continue_shutdown(&mut self) {
         self.clients.stop_listening(self.handover.has_successor(), &mut self.io);
-        if self.clients.listens() {
-            self.io.deadlines.set(self.io.now + DRAIN_PAUSE, TimerEvent::Shutdown);
+        if self.clients.is_listening() {
+            self.io.deadlines.set(self.io.now + LISTENER_DRAIN_PAUSE, TimerEvent::Shutdown);
         }
-        self.clients.let_go(&mut self.io);
+        self.clients.close_idle(&mut self.io);
     }
 
-    /// Whether it was told to go and owes nothing more.
-    pub(super) fn done(&self) -> bool {
-        let Some(since) = self.leaving else { return false };
+    /// Whether the shutdown is complete: no response is due any more.
+    pub(super) fn is_shut_down(&self) -> bool {
+        let Some(since) = self.shutdown_since else { return false };
         let now = self.io.now;
-        now >= since + ACCEPT_ON && self.clients.is_empty() && !self.clients.listens()
-            || now >= since + ACCEPT_ON + self.longest + GONE_BY
+        now >= since + SHUTDOWN_ACCEPT_TIME && self.clients.is_empty() && !self.clients.is_listening()
+            || now >= since + SHUTDOWN_ACCEPT_TIME + self.longest_deadline + SHUTDOWN_GRACE
     }
 
-    /// Looks at all sockets, of which no wait can tell while waits fail.
-    pub(super) fn look_everywhere(&mut self) {
-        if self.io.now < self.looked + LOOK_PAUSE {
+    /// Handles all sockets as if they were ready, since failing waits do not report which ones are.
+    pub(super) fn check_all_sockets(&mut self) {
+        if self.io.now < self.last_socket_check + SOCKET_CHECK_PAUSE {
             return;
         }
-        self.looked = self.io.now;
+        self.last_socket_check = self.io.now;
         let mut owners =
             vec![Owner::Listener, Owner::Management, Owner::Handover, Owner::Peers, Owner::Fleet];
         owners.push(Owner::Discovery(self.discovery.connection_number()));
         owners.extend(self.clients.slots().map(Owner::Client));
         owners.extend(self.pool.slots().map(Owner::Conn));
         for owner in owners {
-            self.event(owner);
-            self.pump();
+            self.handle_ready(owner);
+            self.dispatch_events();
         }
     }
 
-    /// Goes on after a wait that failed. Guards against the end of all that is served by a failure that passes.
-    pub(super) fn wait_failed(&mut self, error: io::Error, begun: Time) -> io::Result<()> {
+    /// Continues after a failed wait, so that a transient failure does not end the process; fails after too
+    /// many in a row.
+    pub(super) fn handle_failed_wait(&mut self, error: io::Error, wait_start: Time) -> io::Result<()> {
         self.io.counters.failures.count(SystemCall::Wait, &error);
         let now = self.clock.now();
-        if self.failed_waits == 0 || now.since(begun) > LASTED {
-            (self.blind_since, self.failed_waits) = (Some(now), 0);
+        if self.failed_waits == 0 || now.since(wait_start) > CONCLUSIVE_WAIT {
+            (self.waits_failing_since, self.failed_waits) = (Some(now), 0);
         }
         self.failed_waits += 1;
         let interrupted = error.kind() == io::ErrorKind::Interrupted;
-        if !interrupted && self.failed_waits > FAILED_WAITS_MOST {
+        if !interrupted && self.failed_waits > MAX_FAILED_WAITS {
             return Err(error);
         }
         if !interrupted {
             std::thread::sleep(FAILED_WAIT_PAUSE);
-        } else if self.failed_waits > INTERRUPTIONS_MOST {
-            std::thread::sleep(INTERRUPTED_PAUSE);
+        } else if self.failed_waits > MAX_INTERRUPTED_WAITS {
+            std::thread::sleep(INTERRUPTED_WAIT_PAUSE);
         }
         Ok(())
     }
--- a/crates/proxy/src/proxy/requests.rs
+++ b/crates/proxy/src/proxy/requests.rs
@@ -1,6 +1,6 @@
-//! The life of a request in the loop: taken, attempted, answered, forgotten.
+//! The life of a request in the proxy: received, attempted, answered and removed.
 
-use super::{Held, Proxy, Upload, COPY_MOST};
+use super::{PendingRequest, Proxy, StreamedBody, MAX_REPLAY_BYTES};
 use crate::attempt_result::AttemptResult;
 use crate::http::{self, HttpError};
 use crate::pool::OutgoingRequest;
@@ -13,231 +13,255 @@
 use sparlug::time::{Span, Time};
 
 impl Proxy {
-    pub(super) fn taken(&mut self, client: ClientSlot, incoming: IncomingRequest) {
+    pub(super) fn receive_request(&mut self, client: ClientSlot, incoming: IncomingRequest) {
         self.io.counters.requests_received += 1;
-        let (class, deadline, whole) = (ClassId(incoming.class), incoming.deadline, incoming.complete);
+        let (class, deadline, complete) = (ClassId(incoming.class), incoming.deadline, incoming.complete);
         let (tenant, key, cost) = (incoming.tenant, incoming.head.key, None);
-        // Guards against large requests filling the memory while they wait.
+        // Large requests that wait must not fill the memory.
         let bytes = incoming.message.len();
-        let room = bytes + self.held_bytes <= self.clients.budgets.buffer_bytes;
+        let fits = bytes + self.buffered_bytes <= self.clients.budgets.buffer_bytes;
         let deadlines = &mut self.io.deadlines;
-        let slot = self.held.insert_with(|slot| {
-            if !room {
+        let slot = self.pending.insert_with(|slot| {
+            if !fits {
                 return None;
             }
-            let due = TimerEvent::RequestDeadline(RequestId(slot.to_number()));
-            let deadline = whole.then(|| deadlines.set(deadline, due));
-            let upload = (!whole).then_some(Upload { fed: 0, spent: false, over: false });
-            Some(Held { client: Some(client), incoming, attempts: Vec::new(), deadline, upload, began: None })
+            let timer = TimerEvent::RequestDeadline(RequestId(slot.to_number()));
+            let deadline = complete.then(|| deadlines.set(deadline, timer));
+            let streamed_body =
+                (!complete).then_some(StreamedBody { sent: 0, discarded: false, complete: false });
+            Some(PendingRequest {
+                client: Some(client),
+                incoming,
+                attempts: Vec::new(),
+                deadline,
+                streamed_body,
+                streamed_response: None,
+            })
         });
         let Some(slot) = slot else {
             self.io.counters.refused += 1;
-            return self.clients.reply(client, 503, true, &mut self.io);
+            return self.clients.respond(client, 503, true, &mut self.io);
         };
-        self.held_bytes += bytes;
-        self.io.streaming_requests += usize::from(!whole);
+        self.buffered_bytes += bytes;
+        self.io.streaming_requests += usize::from(!complete);
         let id = RequestId(slot.to_number());
-        self.clients.holds(client, id);
-        self.decide(Event::RequestReceived(Request {
+        self.clients.set_request(client, id);
+        self.handle_event(Event::RequestReceived(Request {
             id,
             class,
             tenant,
             key,
             deadline,
             cost,
-            complete: whole,
+            complete,
         }));
     }
 
-    pub(super) fn attempt(
+    pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
         backend: BackendId,
-        time_out: Span,
-        by: Option<Time>,
+        timeout: Span,
+        start_by: Option<Time>,
     ) {
-        // Guards against sending on what nobody waits for: the client's end may be here, and not be read.
-        if let Some(client) = self.held.get(RequestSlot::from_number(request.0)).and_then(|held| held.client)
+        // The client may have closed its connection without the proxy having read that yet; reading now
+        // avoids sending a request for which nobody waits.
+        if let Some(client) =
+            self.pending.get(RequestSlot::from_number(request.0)).and_then(|pending| pending.client)
         {
-            self.clients.event(client, &mut self.io);
+            self.clients.handle_ready(client, &mut self.io);
         }
         let clients = &self.clients;
-        let spent = |held: &Held| held.upload.as_ref().is_some_and(|upload| upload.spent);
-        let waits = |held: &Held| held.client.is_some_and(|client| clients.has(client));
-        let open = |held: &&mut Held| waits(held) && !spent(held);
-        let Some(held) = self.held.get_mut(RequestSlot::from_number(request.0)).filter(open) else {
-            // Every attempt has an end, also one for a request that is over.
+        let body_discarded =
+            |pending: &PendingRequest| pending.streamed_body.as_ref().is_some_and(|body| body.discarded);
+        let is_waiting =
+            |pending: &PendingRequest| pending.client.is_some_and(|client| clients.is_connected(client));
+        let can_be_sent = |pending: &&mut PendingRequest| is_waiting(pending) && !body_discarded(pending);
+        let Some(pending) = self.pending.get_mut(RequestSlot::from_number(request.0)).filter(can_be_sent)
+        else {
+            // Every attempt is reported as ended, even one for a request that is already finished.
             let (purpose, result) = (Purpose::Attempt(request, AttemptNo(u16::MAX)), AttemptResult::NoRoom);
             let (took, load, response) = Default::default();
-            let done = JobResult { backend, purpose, result, took, load, response };
-            return self.io.events.push_back(ProxyEvent::JobEnded(done));
+            let job = JobResult { backend, purpose, result, took, load, response };
+            return self.io.events.push_back(ProxyEvent::JobEnded(job));
         };
         self.io.counters.attempts_started += 1;
-        let id = held.incoming.head.id.as_deref();
-        let (number, host) = (AttemptNo(held.attempts.len() as u16), self.pool.host(backend));
+        let id = pending.incoming.head.id.as_deref();
+        let (number, host) = (AttemptNo(pending.attempts.len() as u16), self.pool.host(backend));
         if number.0 == 0 {
-            tracing::trace!(id, request = request.0, host, "forward");
+            tracing::trace!(id, request = request.0, host, "attempt");
         } else {
             tracing::debug!(id, request = request.0, attempt = number.0, host, "retry");
         }
-        held.attempts.push(None);
-        let (incoming, window) = (&held.incoming, self.io.window());
-        let (mut end, mut left, mut whole) = (incoming.message.len(), time_out, true);
-        if let Some(upload) = &mut held.upload {
+        pending.attempts.push(None);
+        let (incoming, window) = (&pending.incoming, self.io.window());
+        let (mut end, mut remaining, mut complete) = (incoming.message.len(), timeout, true);
+        if let Some(body) = &mut pending.streamed_body {
             end = end.min(incoming.head.length + window);
-            upload.fed = end;
-            whole = upload.over && end == incoming.message.len();
-            left = if upload.over { time_out } else { incoming.timeout };
+            body.sent = end;
+            complete = body.complete && end == incoming.message.len();
+            remaining = if body.complete { timeout } else { incoming.timeout };
         }
-        let (bytes, place) = incoming.head.for_backend(&incoming.message[..end], left);
-        let (purpose, until) = (Purpose::Attempt(request, number), self.io.now + time_out);
-        // A further attempt goes on a new connection too: it may be an idle one that cost it the last.
-        let again = held.incoming.head.method == "GET" && number.0 == 0;
+        let (bytes, timeout_range) = incoming.head.for_backend(&incoming.message[..end], remaining);
+        let (purpose, until) = (Purpose::Attempt(request, number), self.io.now + timeout);
+        // A retry uses a new connection, since a reused idle one may be what made the previous attempt fail.
+        let repeatable = pending.incoming.head.method == "GET" && number.0 == 0;
         let message = OutgoingRequest {
             bytes: &bytes,
-            complete: whole,
-            repeatable: again,
-            timeout_range: whole.then_some(place),
-            start_by: by,
+            complete,
+            repeatable,
+            timeout_range: complete.then_some(timeout_range),
+            start_by,
         };
         let slot = self.pool.send(backend, purpose, message, until, &mut self.io);
-        held.attempts[usize::from(number.0)] = slot;
-        if !whole {
-            self.up(request);
+        pending.attempts[usize::from(number.0)] = slot;
+        if !complete {
+            self.forward_request_body(request);
         }
     }
 
-    /// What carries the last attempt of a request, if it is out.
-    pub(super) fn out(&self, request: RequestId) -> Option<ConnSlot> {
-        *self.held.get(RequestSlot::from_number(request.0))?.attempts.last()?
+    /// The connection of a request's last attempt, if that is still running.
+    pub(super) fn active_connection(&self, request: RequestId) -> Option<ConnSlot> {
+        *self.pending.get(RequestSlot::from_number(request.0))?.attempts.last()?
     }
 
-    pub(super) fn left(&mut self, request: RequestId) {
-        // The decisions know no more of what has begun to be answered.
-        let began =
-            self.held.get(RequestSlot::from_number(request.0)).is_some_and(|held| held.began.is_some());
-        let out = self.out(request);
+    pub(super) fn client_gone(&mut self, request: RequestId) {
+        // Once a response is being streamed, the balancer has already seen its attempt end.
+        let streaming = self
+            .pending
+            .get(RequestSlot::from_number(request.0))
+            .is_some_and(|pending| pending.streamed_response.is_some());
+        let conn = self.active_connection(request);
         self.finish(request);
-        match out {
-            Some(slot) if began => self.pool.cancel(slot, &mut self.io),
-            // Also where nothing that runs may be called off: nothing runs yet.
+        match conn {
+            Some(slot) if streaming => self.pool.cancel(slot, &mut self.io),
+            // Allowed even where running attempts may not be cancelled: an unwritten one is not running yet.
             Some(slot) => self.pool.cancel_unwritten(slot, &mut self.io),
             None => {}
         }
-        self.decide(Event::ClientGone(request));
+        self.handle_event(Event::ClientGone(request));
     }
 
-    /// Sends on what has come of a request and has room.
-    pub(super) fn up(&mut self, request: RequestId) {
+    /// Forwards as much of a request's body as was received and fits into the backend's window.
+    pub(super) fn forward_request_body(&mut self, request: RequestId) {
         loop {
-            let Some(conn) = self.out(request) else { return };
-            let room = self.pool.write_capacity(conn, &self.io);
-            let Some(held) = self.held.get_mut(RequestSlot::from_number(request.0)) else { return };
-            let (Some(client), Some(upload)) = (held.client, &mut held.upload) else { return };
-            let message = &mut held.incoming.message;
-            if room == 0 {
+            let Some(conn) = self.active_connection(request) else { return };
+            let capacity = self.pool.write_capacity(conn, &self.io);
+            let Some(pending) = self.pending.get_mut(RequestSlot::from_number(request.0)) else { return };
+            let (Some(client), Some(body)) = (pending.client, &mut pending.streamed_body) else { return };
+            let message = &mut pending.incoming.message;
+            if capacity == 0 {
                 return;
             }
-            if !upload.spent && upload.fed < message.len() {
-                let from = upload.fed;
-                upload.fed = message.len().min(from + room);
-                let over = upload.over && upload.fed == message.len();
-                self.pool.write_body(conn, &message[from..upload.fed], over, &mut self.io);
+            if !body.discarded && body.sent < message.len() {
+                let from = body.sent;
+                body.sent = message.len().min(from + capacity);
+                let last = body.complete && body.sent == message.len();
+                self.pool.write_body(conn, &message[from..body.sent], last, &mut self.io);
                 continue;
             }
-            if upload.over {
+            if body.complete {
                 return;
             }
-            let (bytes, over) = match self.clients.pull(client, room, &mut self.io) {
+            let (bytes, last) = match self.clients.read_body(client, capacity, &mut self.io) {
                 Ok((bytes, false)) if bytes.is_empty() => return,
-                Ok(pulled) => pulled,
-                Err(bad) => return self.bad_body(request, client, bad),
+                Ok(read) => read,
+                Err(error) => return self.reject_body(request, client, error),
             };
-            upload.over = over;
+            body.complete = last;
             let (length, budget) = (bytes.len(), self.clients.budgets.buffer_bytes / 2);
-            if !upload.spent && message.len() + length <= COPY_MOST && self.held_bytes + length <= budget {
+            if !body.discarded
+                && message.len() + length <= MAX_REPLAY_BYTES
+                && self.buffered_bytes + length <= budget
+            {
                 message.extend_from_slice(&bytes);
-                self.held_bytes += length;
-                upload.fed = message.len();
-            } else if !std::mem::replace(&mut upload.spent, true) {
-                self.held_bytes -= message.len();
+                self.buffered_bytes += length;
+                body.sent = message.len();
+            } else if !std::mem::replace(&mut body.discarded, true) {
+                self.buffered_bytes -= message.len();
                 *message = Vec::new();
             }
-            self.pool.write_body(conn, &bytes, over, &mut self.io);
-            if over {
-                return self.whole(request);
+            self.pool.write_body(conn, &bytes, last, &mut self.io);
+            if last {
+                return self.request_complete(request);
             }
         }
     }
 
-    /// The last byte of a request that is sent on as it comes is here.
-    pub(super) fn whole(&mut self, request: RequestId) {
-        let Some(held) = self.held.get_mut(RequestSlot::from_number(request.0)) else { return };
-        let deadline = self.io.earliest_arrival + held.incoming.timeout;
-        held.deadline = Some(self.io.deadlines.set(deadline, TimerEvent::RequestDeadline(request)));
-        self.decide(Event::RequestComplete { request, deadline });
+    /// The last byte of a streamed request was received: its deadline starts from here.
+    pub(super) fn request_complete(&mut self, request: RequestId) {
+        let Some(pending) = self.pending.get_mut(RequestSlot::from_number(request.0)) else { return };
+        let deadline = self.io.earliest_arrival + pending.incoming.timeout;
+        pending.deadline = Some(self.io.deadlines.set(deadline, TimerEvent::RequestDeadline(request)));
+        self.handle_event(Event::RequestComplete { request, deadline });
     }
 
-    /// What comes of a request can't be read any further.
-    pub(super) fn bad_body(&mut self, request: RequestId, client: ClientSlot, bad: HttpError) {
+    /// Ends a streamed request whose body cannot be parsed any further.
+    pub(super) fn reject_body(&mut self, request: RequestId, client: ClientSlot, error: HttpError) {
         self.io.counters.bad_input += 1;
-        self.clients.reply(client, bad.status(), true, &mut self.io);
-        self.left(request);
+        self.clients.respond(client, error.status(), true, &mut self.io);
+        self.client_gone(request);
     }
 
-    /// An answer that is passed on as it comes has begun, with which its request is over for the decisions.
-    pub(super) fn began(&mut self, begun: StartedResponse) {
-        let StartedResponse { backend, request, attempt, head, message, took } = begun;
-        let out = self.out(request);
-        let Some(held) = self.held.get_mut(RequestSlot::from_number(request.0)) else { return };
-        let Some(client) = held.client else {
-            return out.into_iter().for_each(|slot| self.pool.cancel(slot, &mut self.io));
+    /// Starts to stream a response to the client. For the balancer the request ends with this.
+    pub(super) fn start_response(&mut self, response: StartedResponse) {
+        let StartedResponse { backend, request, attempt, head, message, took } = response;
+        let conn = self.active_connection(request);
+        let Some(pending) = self.pending.get_mut(RequestSlot::from_number(request.0)) else { return };
+        let Some(client) = pending.client else {
+            return conn.into_iter().for_each(|slot| self.pool.cancel(slot, &mut self.io));
         };
-        let close = held.incoming.head.close || self.clients.ends(client);
-        self.io.streaming_requests += usize::from(!held.streams());
-        self.io.deadlines.cancel(held.deadline.take());
-        self.clients.begin(client, request, &head.start_stream(&message, close), close, &mut self.io);
+        let close = pending.incoming.head.close || self.clients.closes_after_response(client);
+        self.io.streaming_requests += usize::from(!pending.is_streaming());
+        self.io.deadlines.cancel(pending.deadline.take());
+        self.clients.start_response(
+            client,
+            request,
+            &head.start_stream(&message, close),
+            close,
+            &mut self.io,
+        );
         let load = head.load;
-        held.began = Some(Box::new(head));
+        pending.streamed_response = Some(Box::new(head));
         self.io.counters.served += 1;
         self.io.counters.count_outcome(Outcome::Served);
-        let (outcome, answered, spent) = (Outcome::Served, true, true);
-        self.decide(Event::AttemptEnded(AttemptEnd {
+        let (outcome, answered, body_discarded) = (Outcome::Served, true, true);
+        self.handle_event(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             backend,
             outcome,
             answered,
-            body_discarded: spent,
+            body_discarded,
             took,
             load,
         }));
     }
 
-    /// Passes on what has come of an answer and has room.
-    pub(super) fn down(&mut self, request: RequestId) {
+    /// Forwards as much of a response's body as was received and fits into the client's window.
+    pub(super) fn forward_response_body(&mut self, request: RequestId) {
         loop {
-            let Some(conn) = self.out(request) else { return };
-            let Some(held) = self.held.get(RequestSlot::from_number(request.0)) else { return };
-            let (Some(client), Some(head)) = (held.client, &held.began) else { return };
-            let room = self.clients.room(client, &self.io);
-            if room == 0 {
+            let Some(conn) = self.active_connection(request) else { return };
+            let Some(pending) = self.pending.get(RequestSlot::from_number(request.0)) else { return };
+            let (Some(client), Some(head)) = (pending.client, &pending.streamed_response) else { return };
+            let capacity = self.clients.write_capacity(client, &self.io);
+            if capacity == 0 {
                 return;
             }
-            let (bytes, over) = self.pool.read_body(conn, room, &mut self.io);
-            if bytes.is_empty() && !over {
+            let (bytes, last) = self.pool.read_body(conn, capacity, &mut self.io);
+            if bytes.is_empty() && !last {
                 return;
             }
-            self.clients.go_on_with(client, &head.stream_piece(&bytes, over), over, &mut self.io);
-            if over {
+            self.clients.write_body(client, &head.stream_piece(&bytes, last), last, &mut self.io);
+            if last {
                 return self.finish(request);
             }
         }
     }
 
-    pub(super) fn check(&mut self, backend: BackendId) {
+    pub(super) fn send_check(&mut self, backend: BackendId) {
         self.io.counters.checks += 1;
-        let host = self.pool.address(backend).map(|dial| dial.to_string()).unwrap_or_default();
+        let host = self.pool.address(backend).map(|address| address.to_string()).unwrap_or_default();
         let message = format!("GET {} HTTP/1.1\r\nHost: {host}\r\n\r\n", self.check_path);
         let until = self.io.now + self.pool.connect_timeout();
         let message = OutgoingRequest {
@@ -250,116 +274,136 @@
         self.pool.send(backend, Purpose::Check, message, until, &mut self.io);
     }
 
-    pub(super) fn ended(&mut self, done: JobResult) {
-        let outcome = done.result.outcome();
-        let JobResult { backend, purpose, result, took, load, response } = done;
+    /// Handles the end of an attempt or a check.
+    pub(super) fn job_ended(&mut self, job: JobResult) {
+        let outcome = job.result.outcome();
+        let JobResult { backend, purpose, result, took, load, response } = job;
         let Purpose::Attempt(request, attempt) = purpose else {
-            // The answer to a check bears its report as its body.
+            // The body of the response to a check is a load report.
             let load =
                 response.map_or(load, |(head, message)| http::parse_load_report(&head.body_text(&message)));
             let host = self.pool.host(backend);
             tracing::trace!(host, ending = ?result, took = took.ms(), held = load.in_flight, "check ended");
-            return self.decide(Event::CheckEnded { backend, outcome, took, load });
+            return self.handle_event(Event::CheckEnded { backend, outcome, took, load });
         };
-        if self.held.get(RequestSlot::from_number(request.0)).is_some_and(|held| held.began.is_some()) {
-            return self.streamed(request, backend, result);
+        if self
+            .pending
+            .get(RequestSlot::from_number(request.0))
+            .is_some_and(|pending| pending.streamed_response.is_some())
+        {
+            return self.streamed_response_ended(request, backend, result);
         }
         self.io.counters.count_outcome(outcome);
         if outcome != Outcome::Served {
             let host = self.pool.host(backend);
-            let held = self.held.get(RequestSlot::from_number(request.0));
-            let id = held.and_then(|held| held.incoming.head.id.as_deref());
-            tracing::debug!(id, request = request.0, host, ending = ?result, took = took.ms(), "forward ended");
+            let pending = self.pending.get(RequestSlot::from_number(request.0));
+            let id = pending.and_then(|pending| pending.incoming.head.id.as_deref());
+            tracing::debug!(id, request = request.0, host, ending = ?result, took = took.ms(), "attempt ended");
         } else {
             let host = self.pool.host(backend);
-            tracing::trace!(request = request.0, host, took = took.ms(), "forward honoured");
+            tracing::trace!(request = request.0, host, took = took.ms(), "attempt served");
         }
         let slot = RequestSlot::from_number(request.0);
-        if let Some(held) = self.held.get_mut(slot) {
-            if let Some(out) = held.attempts.get_mut(usize::from(attempt.0)) {
-                *out = None;
+        if let Some(pending) = self.pending.get_mut(slot) {
+            if let Some(conn) = pending.attempts.get_mut(usize::from(attempt.0)) {
+                *conn = None;
             }
-            let last = matches!(outcome, Outcome::Served | Outcome::Faulted);
-            if let (true, Some(client), Some((head, message))) = (last, held.client, response) {
-                let close = held.incoming.head.close || self.clients.ends(client);
+            let is_final = matches!(outcome, Outcome::Served | Outcome::Faulted);
+            if let (true, Some(client), Some((head, message))) = (is_final, pending.client, response) {
+                let close = pending.incoming.head.close || self.clients.closes_after_response(client);
                 let close = close || outcome == Outcome::Faulted;
                 self.io.counters.served += u64::from(outcome == Outcome::Served);
                 let bytes = head.for_client(&message, close);
-                self.clients.answer(client, head.status, &bytes, close, &mut self.io);
+                self.clients.send_response(client, head.status, &bytes, close, &mut self.io);
                 self.finish(request);
             }
         }
-        let answered = self.held.get(slot).is_none_or(|held| held.client.is_none());
-        let spent =
-            self.held.get(slot).and_then(|held| held.upload.as_ref()).is_some_and(|upload| upload.spent);
-        let ended =
-            AttemptEnd { request, attempt, backend, outcome, answered, body_discarded: spent, took, load };
-        self.decide(Event::AttemptEnded(ended));
-        self.forget(request);
+        let answered = self.pending.get(slot).is_none_or(|pending| pending.client.is_none());
+        let body_discarded = self
+            .pending
+            .get(slot)
+            .and_then(|pending| pending.streamed_body.as_ref())
+            .is_some_and(|body| body.discarded);
+        let end = AttemptEnd { request, attempt, backend, outcome, answered, body_discarded, took, load };
+        self.handle_event(Event::AttemptEnded(end));
+        self.remove_if_done(request);
     }
 
-    /// An answer that had begun is over, or has broken off.
-    pub(super) fn streamed(&mut self, request: RequestId, backend: BackendId, result: AttemptResult) {
-        let Some(held) = self.held.get_mut(RequestSlot::from_number(request.0)) else { return };
-        held.attempts.iter_mut().for_each(|out| *out = None);
-        let broke = !matches!(result, AttemptResult::Answered { .. } | AttemptResult::CalledOff { .. });
-        if let (true, Some(client)) = (broke, held.client) {
-            let id = held.incoming.head.id.as_deref();
-            tracing::debug!(id, host = self.pool.host(backend), ending = ?result, "answer broke off");
-            self.clients.cut(client, &mut self.io);
+    /// Handles the end of a streamed response, complete or broken off.
+    pub(super) fn streamed_response_ended(
+        &mut self,
+        request: RequestId,
+        backend: BackendId,
+        result: AttemptResult,
+    ) {
+        let Some(pending) = self.pending.get_mut(RequestSlot::from_number(request.0)) else { return };
+        pending.attempts.iter_mut().for_each(|conn| *conn = None);
+        let broke_off = !matches!(result, AttemptResult::Answered { .. } | AttemptResult::CalledOff { .. });
+        if let (true, Some(client)) = (broke_off, pending.client) {
+            let id = pending.incoming.head.id.as_deref();
+            tracing::debug!(id, host = self.pool.host(backend), ending = ?result, "response broke off");
+            self.clients.abort_response(client, &mut self.io);
             self.finish(request);
-            self.decide(Event::ResponseAborted(backend));
+            self.handle_event(Event::ResponseAborted(backend));
         }
-        self.forget(request);
+        self.remove_if_done(request);
     }
 
-    /// Logs why a request gets no backend's answer.
-    pub(super) fn say_unserved(&self, request: RequestId, reason: Reason) {
-        let held = self.held.get(RequestSlot::from_number(request.0));
-        let id = held.and_then(|held| held.incoming.head.id.as_deref());
-        let attempts = held.map(|held| held.attempts.len());
-        tracing::debug!(id, request = request.0, attempts, ?reason, "given up");
+    /// Logs why a request gets no backend's response.
+    pub(super) fn log_unserved(&self, request: RequestId, reason: Reason) {
+        let pending = self.pending.get(RequestSlot::from_number(request.0));
+        let id = pending.and_then(|pending| pending.incoming.head.id.as_deref());
+        let attempts = pending.map(|pending| pending.attempts.len());
+        tracing::debug!(id, request = request.0, attempts, ?reason, "request not served");
     }
 
-    /// Gives the proxy's own answer to a request, if it has none yet.
-    pub(super) fn answer(&mut self, request: RequestId, status: u16, backoff: Option<Span>) {
-        let Some(held) = self.held.get(RequestSlot::from_number(request.0)) else { return };
-        let Some(client) = held.client else { return };
-        let id = held.incoming.head.id.as_deref();
-        tracing::debug!(id, status, backoff = backoff.map(Span::ms), "answered without a backend's answer");
-        let close = held.incoming.head.close || self.clients.ends(client);
+    /// Sends the proxy's own response to a request that has none yet.
+    pub(super) fn respond(&mut self, request: RequestId, status: u16, backoff: Option<Span>) {
+        let Some(pending) = self.pending.get(RequestSlot::from_number(request.0)) else { return };
+        let Some(client) = pending.client else { return };
+        let id = pending.incoming.head.id.as_deref();
+        tracing::debug!(
+            id,
+            status,
+            backoff = backoff.map(Span::ms),
+            "responded without a backend's response"
+        );
+        let close = pending.incoming.head.close || self.clients.closes_after_response(client);
         let bytes = http::proxy_response(status, backoff, close);
-        self.clients.answer(client, status, &bytes, close, &mut self.io);
+        self.clients.send_response(client, status, &bytes, close, &mut self.io);
         self.finish(request);
     }
 
-    /// The request is over: it has its answer, or its client is gone.
+    /// Marks a request as finished: it has its response, or its client is gone.
     pub(super) fn finish(&mut self, request: RequestId) {
-        let Some(held) = self.held.get_mut(RequestSlot::from_number(request.0)) else { return };
-        held.client = None;
-        self.io.deadlines.cancel(held.deadline.take());
-        self.forget(request);
+        let Some(pending) = self.pending.get_mut(RequestSlot::from_number(request.0)) else { return };
+        pending.client = None;
+        self.io.deadlines.cancel(pending.deadline.take());
+        self.remove_if_done(request);
     }
 
-    /// Drops the record of a request that is over, once no attempt is out.
-    pub(super) fn forget(&mut self, request: RequestId) {
+    /// Removes a finished request once none of its attempts is running.
+    pub(super) fn remove_if_done(&mut self, request: RequestId) {
         let slot = RequestSlot::from_number(request.0);
-        let over = |held: &Held| held.client.is_none() && held.attempts.iter().all(Option::is_none);
-        if self.held.get(slot).is_some_and(over) {
-            let Some(held) = self.held.remove(slot) else { return };
-            self.held_bytes -= held.incoming.message.len();
-            self.io.streaming_requests -= usize::from(held.streams());
+        let is_done = |pending: &PendingRequest| {
+            pending.client.is_none() && pending.attempts.iter().all(Option::is_none)
+        };
+        if self.pending.get(slot).is_some_and(is_done) {
+            let Some(pending) = self.pending.remove(slot) else { return };
+            self.buffered_bytes -= pending.incoming.message.len();
+            self.io.streaming_requests -= usize::from(pending.is_streaming());
         }
     }
 
-    /// Guards against a request that nothing answers: at its deadline it fails, whatever the decisions say.
-    pub(super) fn deadline_passed(&mut self, request: RequestId) {
-        let held = self.held.get(RequestSlot::from_number(request.0));
-        if held.is_some_and(|held| held.client.is_some()) {
+    /// Fails a request that has no response by its deadline, whatever the balancer decides, so that no
+    /// request is left without one.
+    pub(super) fn deadline_expired(&mut self, request: RequestId) {
+        let pending = self.pending.get(RequestSlot::from_number(request.0));
+        if pending.is_some_and(|pending| pending.client.is_some()) {
             self.io.counters.overdue += 1;
-            tracing::warn!(request = request.0, "nothing was answered by the cut-off");
-            self.answer(request, 504, None);
-            self.decide(Event::ClientGone(request));
+            tracing::warn!(request = request.0, "no response by the deadline");
+            self.respond(request, 504, None);
+            self.handle_event(Event::ClientGone(request));
         }
     }
 }
--- a/crates/proxy/tests/accept_failures.rs
+++ b/crates/proxy/tests/accept_failures.rs
@@ -138,7 +138,7 @@
     limit(40).unwrap();
     let mut clients: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
     proxy.wait_for_log("cannot accept");
-    proxy.wait_for_log("room for clients by the process's limit");
+    proxy.wait_for_log("client connections limited by the process's limit");
     limit(1024).unwrap();
     let start = Instant::now();
     for client in &mut clients {
--- a/crates/proxy/tests/leaving.rs
+++ b/crates/proxy/tests/leaving.rs
@@ -85,7 +85,7 @@
     write(&mut waits, &keep_alive_request("POST", "/write"));
     assert!(waits.take_error().unwrap().is_none(), "the connection was reset");
     close(waits);
-    assert!(proxy.wait_for_log("gone").contains("taken=2"));
+    assert!(proxy.wait_for_log("stopped").contains("taken=2"));
     assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
@@ -112,7 +112,7 @@
     }
     close(new);
     close(rests);
-    let counters = proxy.wait_for_log("gone");
+    let counters = proxy.wait_for_log("stopped");
     assert!(counters.contains("taken=3") && counters.contains("honoured=3"), "{counters}");
     assert_eq!(proxy.wait_for_exit(), Some(0));
 }
@@ -134,7 +134,7 @@
     assert!(text.contains("Connection: close") && text.ends_with("fine"), "{text}");
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     close(client);
-    assert!(proxy.wait_for_log("gone").contains("taken=1"));
+    assert!(proxy.wait_for_log("stopped").contains("taken=1"));
     assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -371,7 +371,7 @@
         let text = read_message(client);
         assert!(text.contains("Connection: close") && text.ends_with("fine"), "{text}");
     }
-    let counters = proxy.wait_for_log("gone");
+    let counters = proxy.wait_for_log("stopped");
     assert!(counters.contains("taken=2") && counters.contains("honoured=2"), "{counters}");
     assert_eq!(proxy.wait_for_exit(), Some(0));
 }
@@ -624,8 +624,8 @@
         once(&backend, Some(&response("200 OK", "", "fine")));
     });
     assert!((0..50).any(|_| proxy.fetch(&text).ends_with("fine")), "it serves as before");
-    proxy.wait_for_log("no room for callers, new ones wait");
-    proxy.wait_for_log("room for callers again");
+    proxy.wait_for_log("client limit reached, new connections wait");
+    proxy.wait_for_log("accepting new clients again");
     proxy.signal("-TERM");
     assert_eq!(proxy.wait_for_exit(), Some(0));
 }
--- a/crates/proxy/tests/watching.rs
+++ b/crates/proxy/tests/watching.rs
@@ -157,7 +157,7 @@
     let mut call = accept(&proxy.discovery);
     read_message(&mut call);
     write(&mut call, &whole(2, &other));
-    assert!(proxy.wait_for_log("odd list").contains("older version"));
+    assert!(proxy.wait_for_log("suspicious list").contains("older version"));
     assert!(
         read_message(&mut call).starts_with("GET /v1/endpoints?index=2&"),
         "the watch goes on from there"
