--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -1,4 +1,5 @@
-//! Clients that close their connections: from then on nothing begins that only they wait for.
+//! Guards against attempts that are started or kept up for clients that have closed their connections, also
+//! when the close reaches the proxy together with other events.
 
 mod helper;
 
@@ -11,143 +12,149 @@
     settings, unreachable_backend, write, Proxy,
 };
 
-/// Longer than the loop goes on without a wait that tells what is ready.
-const HELD: Duration = Duration::from_millis(20);
+/// Longer than the loop goes on without polling the sockets for readiness.
+const STOPPED_TIME: Duration = Duration::from_millis(20);
 
-fn long() -> String {
+fn long_deadlines() -> String {
     settings(40_000, "")
 }
 
-/// Requests up to the limit, each on its way at the backend, so that what comes next waits.
-fn busy(proxy: &Proxy, backend: &TcpListener) -> Vec<(TcpStream, TcpStream)> {
-    let mut out = Vec::new();
+/// Fills the concurrency limit of the backend with requests, so that the next ones are queued. Returns the
+/// client's and the backend's connection of each.
+fn fill_concurrency_limit(proxy: &Proxy, backend: &TcpListener) -> Vec<(TcpStream, TcpStream)> {
+    let mut in_flight = Vec::new();
     for _ in 0..4 {
         let client = send_request(proxy, &keep_alive_request("GET", "/read"));
         let mut conn = accept(backend);
         read_message(&mut conn);
-        out.push((client, conn));
+        in_flight.push((client, conn));
     }
-    out
+    in_flight
 }
 
-/// A place falls free and the client that would get it closes, both while the loop stands still, so that it finds
-/// both in one turn, the free place first. `more` is what the client has sent behind its request.
-fn a_close_and_a_free_place_in_one_turn(more: &str) {
+/// While the loop is stopped, an attempt ends and the client whose queued request is next closes its
+/// connection, so that the loop finds both in one iteration, the ended attempt first. `further_input` is what
+/// that client has sent after its request.
+fn close_and_ended_attempt_in_one_iteration(further_input: &str) {
     let backend = backend();
-    let proxy = Proxy::start_with(&[&backend], 1024, &long());
-    let mut out = busy(&proxy, &backend);
-    let (gone, stays) = (keep_alive_request("GET", "/read"), keep_alive_request("GET", "/read"));
-    let leaver = send_request(&proxy, &(gone.clone() + more));
+    let proxy = Proxy::start_with(&[&backend], 1024, &long_deadlines());
+    let mut in_flight = fill_concurrency_limit(&proxy, &backend);
+    let (abandoned_request, waiting_request) =
+        (keep_alive_request("GET", "/read"), keep_alive_request("GET", "/read"));
+    let leaving_client = send_request(&proxy, &(abandoned_request.clone() + further_input));
     while counter(&proxy, "taken") < 5 {}
-    let waiter = send_request(&proxy, &stays);
+    let waiting_client = send_request(&proxy, &waiting_request);
     while counter(&proxy, "taken") < 6 {}
-    assert_eq!(counter(&proxy, "forwards"), 4, "both wait");
+    assert_eq!(counter(&proxy, "forwards"), 4, "both are queued");
     proxy.pause();
-    let (_client, conn) = &mut out[0];
+    let (_client, conn) = &mut in_flight[0];
     write(conn, &response("200 OK", "Connection: close\r\n", "fine"));
-    close(leaver);
-    std::thread::sleep(HELD);
+    close(leaving_client);
+    std::thread::sleep(STOPPED_TIME);
     proxy.resume();
     let mut next = accept(&backend);
     assert_eq!(
         request_id(&read_message(&mut next)),
-        request_id(&stays),
-        "the next is the one whose client waits"
+        request_id(&waiting_request),
+        "the request of the client that still waits is next"
     );
     assert_eq!((counter(&proxy, "left"), counter(&proxy, "forwards")), (1, 5));
-    drop(waiter);
+    drop(waiting_client);
 }
 
 #[test]
-fn a_close_is_seen_before_the_place_that_falls_free_in_the_same_turn() {
-    a_close_and_a_free_place_in_one_turn("");
+fn close_is_handled_before_a_queued_request_is_dispatched_in_the_same_iteration() {
+    close_and_ended_attempt_in_one_iteration("");
 }
 
 #[test]
-fn a_close_behind_half_a_request_is_seen_first() {
-    a_close_and_a_free_place_in_one_turn("GET /read HTTP/1.1\r\nHost: api");
+fn close_after_a_partial_request_is_handled_first() {
+    close_and_ended_attempt_in_one_iteration("GET /read HTTP/1.1\r\nHost: api");
 }
 
 #[test]
-fn a_close_behind_piped_requests_is_seen_first_and_none_of_them_goes_on() {
-    a_close_and_a_free_place_in_one_turn(&keep_alive_request("GET", "/read").repeat(3));
+fn close_after_pipelined_requests_is_handled_first_and_none_of_them_is_forwarded() {
+    close_and_ended_attempt_in_one_iteration(&keep_alive_request("GET", "/read").repeat(3));
 }
 
 #[test]
-fn a_close_behind_more_than_is_read_at_once_is_seen_first() {
-    a_close_and_a_free_place_in_one_turn(&keep_alive_request("GET", "/read").repeat(400));
+fn close_after_more_input_than_one_read_takes_is_handled_first() {
+    close_and_ended_attempt_in_one_iteration(&keep_alive_request("GET", "/read").repeat(400));
 }
 
-/// Guards against a close that waits in the kernel behind more events than are taken at once.
+/// Guards against a close that is overlooked because more events are ready than one poll returns.
 #[test]
-fn a_close_behind_a_flood_of_events_is_seen_first() {
+fn close_behind_many_other_events_is_handled_first() {
     let backend = backend();
-    let proxy = Proxy::start_with(&[&backend], 1024, &long());
-    let mut out = busy(&proxy, &backend);
-    let (gone, stays) = (keep_alive_request("GET", "/read"), keep_alive_request("GET", "/read"));
-    let leaver = send_request(&proxy, &gone);
+    let proxy = Proxy::start_with(&[&backend], 1024, &long_deadlines());
+    let mut in_flight = fill_concurrency_limit(&proxy, &backend);
+    let (abandoned_request, waiting_request) =
+        (keep_alive_request("GET", "/read"), keep_alive_request("GET", "/read"));
+    let leaving_client = send_request(&proxy, &abandoned_request);
     while counter(&proxy, "taken") < 5 {}
-    let _waiter = send_request(&proxy, &stays);
-    let mut crowd: Vec<_> = (0..300).map(|_| send_request(&proxy, "GET /ready HTTP/1.1\r\n\r\n")).collect();
-    crowd.iter_mut().for_each(|client| drop(read_message(client)));
+    let _waiting_client = send_request(&proxy, &waiting_request);
+    let mut others: Vec<_> = (0..300).map(|_| send_request(&proxy, "GET /ready HTTP/1.1\r\n\r\n")).collect();
+    others.iter_mut().for_each(|client| drop(read_message(client)));
     while counter(&proxy, "taken") < 6 {}
     proxy.pause();
-    write(&mut out[0].1, &response("200 OK", "Connection: close\r\n", "fine"));
-    crowd.iter_mut().for_each(|client| write(client, "GET /ready HTTP/1.1\r\n\r\n"));
-    close(leaver);
-    std::thread::sleep(HELD);
+    write(&mut in_flight[0].1, &response("200 OK", "Connection: close\r\n", "fine"));
+    others.iter_mut().for_each(|client| write(client, "GET /ready HTTP/1.1\r\n\r\n"));
+    close(leaving_client);
+    std::thread::sleep(STOPPED_TIME);
     proxy.resume();
     let mut next = accept(&backend);
     assert_eq!(
         request_id(&read_message(&mut next)),
-        request_id(&stays),
-        "the next is the one whose client waits"
+        request_id(&waiting_request),
+        "the request of the client that still waits is next"
     );
     assert_eq!((counter(&proxy, "left"), counter(&proxy, "forwards")), (1, 5));
 }
 
-/// Guards against a row of requests, longer than what is read ahead, in which the end of its client goes unseen.
+/// Guards against a client's close that goes unnoticed behind more pipelined requests than the proxy reads
+/// ahead.
 #[test]
-fn a_close_behind_a_long_row_of_requests_ends_the_attempt_that_is_out() {
+fn close_after_many_pipelined_requests_cancels_the_attempt_in_flight() {
     let backend = backend();
-    let proxy = Proxy::start_with(&[&backend], 1024, &long());
+    let proxy = Proxy::start_with(&[&backend], 1024, &long_deadlines());
     let client = send_request(&proxy, &keep_alive_request("GET", "/read"));
     let mut conn = accept(&backend);
     read_message(&mut conn);
-    let mut row = client.try_clone().unwrap();
-    write(&mut row, &keep_alive_request("GET", "/read").repeat(400));
+    let mut pipelined = client.try_clone().unwrap();
+    write(&mut pipelined, &keep_alive_request("GET", "/read").repeat(400));
     close(client);
-    drop(row);
-    assert_eq!(conn.read(&mut [0]).unwrap(), 0, "the attempt is called off");
+    drop(pipelined);
+    assert_eq!(conn.read(&mut [0]).unwrap(), 0, "the attempt is cancelled");
     assert_eq!(
         (counter(&proxy, "taken"), counter(&proxy, "forwards")),
         (1, 1),
-        "and nothing of the row goes on"
+        "none of the pipelined requests is forwarded"
     );
 }
 
-/// The same of a client that shuts its side of the connection only.
+/// The same for a client that only shuts down its sending side.
 #[test]
-fn a_client_that_shuts_its_side_behind_a_long_row_is_gone() {
+fn half_close_after_many_pipelined_requests_cancels_the_attempt_in_flight() {
     let backend = backend();
-    let proxy = Proxy::start_with(&[&backend], 1024, &long());
+    let proxy = Proxy::start_with(&[&backend], 1024, &long_deadlines());
     let mut client = send_request(&proxy, &keep_alive_request("GET", "/read"));
     let mut conn = accept(&backend);
     read_message(&mut conn);
     write(&mut client, &keep_alive_request("GET", "/read").repeat(400));
     client.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(conn.read(&mut [0]).unwrap(), 0, "the attempt is called off");
+    assert_eq!(conn.read(&mut [0]).unwrap(), 0, "the attempt is cancelled");
     assert_eq!(counter(&proxy, "taken"), 1);
 }
 
-/// A dial ends with the client, also at a deployment where nothing that runs may be called off.
+/// A connection attempt ends when its client closes, also where the settings forbid cancelling what a backend
+/// runs.
 #[test]
-fn a_dial_under_way_is_called_off_with_its_client() {
+fn connection_attempt_is_cancelled_when_its_client_closes() {
     for cancelling in ["true", "false"] {
         let (backend, _full) = unreachable_backend();
-        let long = settings(40_000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":50000");
-        let long = long.replace("\"cancelling\":true", &format!("\"cancelling\":{cancelling}"));
-        let proxy = Proxy::start_with(&[&backend], 1024, &long);
+        let settings = settings(40_000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":50000");
+        let settings = settings.replace("\"cancelling\":true", &format!("\"cancelling\":{cancelling}"));
+        let proxy = Proxy::start_with(&[&backend], 1024, &settings);
         let client = send_request(&proxy, &keep_alive_request("POST", "/write"));
         while counter(&proxy, "dialled") < 1 {}
         close(client);
@@ -156,19 +163,19 @@
     }
 }
 
-/// What runs goes on where it may not be called off.
+/// Where the settings forbid cancelling, an attempt that is running goes on after its client has closed.
 #[test]
-fn what_runs_is_left_alone_where_nothing_may_be_called_off() {
+fn running_attempt_is_not_cancelled_where_cancelling_is_forbidden() {
     let backend = backend();
-    let long = long().replace("\"cancelling\":true", "\"cancelling\":false");
-    let proxy = Proxy::start_with(&[&backend], 1024, &long);
+    let settings = long_deadlines().replace("\"cancelling\":true", "\"cancelling\":false");
+    let proxy = Proxy::start_with(&[&backend], 1024, &settings);
     let client = send_request(&proxy, &keep_alive_request("POST", "/write"));
     let mut conn = accept(&backend);
     read_message(&mut conn);
     close(client);
     while counter(&proxy, "left") < 1 {}
     conn.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
-    assert!(conn.read(&mut [0]).is_err(), "the connection stays");
+    assert!(conn.read(&mut [0]).is_err(), "the connection stays open");
     write(&mut conn, &response("200 OK", "", "fine"));
     while counter(&proxy, "ended_honoured") < 1 {}
 }
--- a/crates/proxy/tests/discovery_outage.rs
+++ b/crates/proxy/tests/discovery_outage.rs
@@ -1,4 +1,5 @@
-//! The watch while the agent says nothing or lets nobody in, and what a drain that it has then is worth.
+//! The watch on the backend list while the discovery agent is silent or refuses connections. Guards against a
+//! drain that takes effect late because the pause between requests has grown during the outage.
 
 mod helper;
 
@@ -12,25 +13,25 @@
     accept, backend, fetch, read_message, refusing_backend, request, response, settings, write, Proxy,
 };
 
-/// More than any grace for a drain, and far less than a pause that doubles comes to in these tests.
-const GRACE: Duration = Duration::from_millis(1500);
+/// More than any grace period for a drain, and far less than a pause that doubles would reach in these tests.
+const DRAIN_GRACE: Duration = Duration::from_millis(1500);
 
-/// Backends that honour all they get, and when each got the first byte of it.
+/// Backends that serve every request, and when the first byte of each request reached which of them.
 struct Backends {
     listeners: [TcpListener; 2],
-    seen: Arc<Mutex<Vec<(usize, Instant)>>>,
+    received: Arc<Mutex<Vec<(usize, Instant)>>>,
 }
 
 impl Backends {
     fn new() -> Backends {
-        let backends = Backends { listeners: [backend(), backend()], seen: Arc::default() };
+        let backends = Backends { listeners: [backend(), backend()], received: Arc::default() };
         for (number, listener) in backends.listeners.iter().enumerate() {
-            let (listener, seen) = (listener.try_clone().unwrap(), backends.seen.clone());
+            let (listener, received) = (listener.try_clone().unwrap(), backends.received.clone());
             std::thread::spawn(move || {
                 while let Ok((mut stream, _)) = listener.accept() {
                     stream.set_read_timeout(Some(Duration::from_secs(9))).unwrap();
                     if stream.peek(&mut [0]).is_ok_and(|bytes| bytes > 0) {
-                        seen.lock().unwrap().push((number, Instant::now()));
+                        received.lock().unwrap().push((number, Instant::now()));
                         read_message(&mut stream);
                         write(&mut stream, &response("200 OK", "Connection: close\r\n", "fine"));
                     }
@@ -40,8 +41,8 @@
         backends
     }
 
-    /// A whole list in which the first of them drains.
-    fn drain(&self) -> String {
+    /// A full list in which the first backend drains.
+    fn draining_list(&self) -> String {
         let hosts = [("Terminating", 0), ("Ready", 1)].map(|(health, number): (_, usize)| {
             let dial = self.listeners[number].local_addr().unwrap();
             format!(r#"{{"host":"h{number}","dial":"{dial}","site":"a","health":"{health}"}}"#)
@@ -49,71 +50,74 @@
         response("200 OK", "", &format!(r#"{{"seq":5,"whole":true,"hosts":[{}]}}"#, hosts.join(",")))
     }
 
-    fn got(&self, number: usize, from: Instant) -> usize {
-        self.seen.lock().unwrap().iter().filter(|(n, at)| *n == number && *at > from).count()
+    fn requests_since(&self, number: usize, start: Instant) -> usize {
+        self.received.lock().unwrap().iter().filter(|(n, at)| *n == number && *at > start).count()
     }
 }
 
-/// Asks all the while, during an outage of the agent and after it. Until then both backends serve; from the grace on,
-/// counted from when the agent has the drain and would tell it, only the one that stays does.
-fn the_drain_binds(proxy: &Proxy, backends: &Backends, outage: impl FnOnce() -> TcpListener) {
+/// Sends requests during an outage of the agent and after it. During the outage both backends serve; after
+/// `DRAIN_GRACE`, counted from when the agent has the drain and can report it, only the one that stays does.
+fn check_drain_after_outage(proxy: &Proxy, backends: &Backends, outage: impl FnOnce() -> TcpListener) {
     let (done, address) = (AtomicBool::new(false), proxy.address.clone());
     std::thread::scope(|scope| {
-        let asker = scope.spawn(|| {
-            let mut statuses = Vec::new();
+        let client = scope.spawn(|| {
+            let mut served = Vec::new();
             while !done.load(Ordering::Relaxed) {
-                statuses.push(fetch(&address, &request("GET", "/read", "4")).ends_with("fine"));
+                served.push(fetch(&address, &request("GET", "/read", "4")).ends_with("fine"));
                 std::thread::sleep(Duration::from_millis(5));
             }
-            statuses
+            served
         });
         let start = Instant::now();
         let agent = outage();
-        let (told, drain) = (Instant::now(), backends.drain());
-        let before = [0, 1].map(|number| backends.got(number, start));
+        let (reported, list) = (Instant::now(), backends.draining_list());
+        let during_outage = [0, 1].map(|number| backends.requests_since(number, start));
         std::thread::spawn(move || loop {
-            let mut call = accept(&agent);
-            let known = read_message(&mut call).contains("index=5&");
-            // The first is told, the rest wait for something newer.
-            if !known && call.write_all(drain.as_bytes()).is_ok() {
-                read_message(&mut call);
+            let mut list_request = accept(&agent);
+            let known = read_message(&mut list_request).contains("index=5&");
+            // The first request gets the list, the others wait for a newer one.
+            if !known && list_request.write_all(list.as_bytes()).is_ok() {
+                read_message(&mut list_request);
             }
         });
-        std::thread::sleep(GRACE + Duration::from_millis(500));
+        std::thread::sleep(DRAIN_GRACE + Duration::from_millis(500));
         done.store(true, Ordering::Relaxed);
-        let statuses = asker.join().unwrap();
-        let late = backends.got(0, told + GRACE);
-        assert_eq!(late, 0, "requests that went to a backend {GRACE:?} after its drain was told");
-        assert!(before.iter().all(|seen| *seen > 0), "the last list serves meanwhile: {before:?}");
-        assert!(backends.got(1, told + GRACE) > 0, "and the backend that stays goes on");
-        assert!(statuses.iter().all(|fine| *fine), "every request is honoured");
+        let served = client.join().unwrap();
+        let late = backends.requests_since(0, reported + DRAIN_GRACE);
+        assert_eq!(late, 0, "requests that went to a backend {DRAIN_GRACE:?} after its drain was reported");
+        assert!(
+            during_outage.iter().all(|count| *count > 0),
+            "the last list serves meanwhile: {during_outage:?}"
+        );
+        assert!(backends.requests_since(1, reported + DRAIN_GRACE) > 0, "the other backend goes on serving");
+        assert!(served.iter().all(|served| *served), "every request is served");
     });
 }
 
-/// Guards against a pause that grows while discovery is out: its agent says nothing, and answers the call that is out
-/// when discovery is back. What it has then counts as told from that moment.
+/// Guards against a pause that grows during an outage of discovery: the agent sends nothing, and responds to
+/// the open request when discovery is back. What it has then counts as reported from that moment.
 #[test]
-fn a_drain_that_the_agent_has_when_it_speaks_again_binds_at_once() {
+fn drain_takes_effect_at_once_when_a_silent_agent_responds_again() {
     let backends = Backends::new();
     let proxy = Proxy::start(&[&backends.listeners[0], &backends.listeners[1]]);
-    the_drain_binds(&proxy, &backends, || {
-        // Four calls are given up unanswered. The agent is back the moment that the last of them is.
+    check_drain_after_outage(&proxy, &backends, || {
+        // Four requests time out without a response. The agent is back once the last of them has.
         for _ in 0..4 {
-            let mut call = accept(&proxy.discovery);
-            assert!(read_message(&mut call).starts_with("GET /v1/endpoints?index=4&wait="));
-            assert_eq!(call.read(&mut [0]).unwrap(), 0, "the silent call is given up");
+            let mut list_request = accept(&proxy.discovery);
+            assert!(read_message(&mut list_request).starts_with("GET /v1/endpoints?index=4&wait="));
+            assert_eq!(list_request.read(&mut [0]).unwrap(), 0, "the request without a response times out");
         }
         proxy.discovery.try_clone().unwrap()
     });
 }
 
-/// The same where the agent lets nobody in: it is asked again and again, in a bounded number of calls.
+/// The same where the agent refuses connections: the proxy tries again and again, a bounded number of times.
 #[test]
-fn a_drain_that_the_agent_has_when_it_lets_calls_in_again_binds_at_once() {
+fn drain_takes_effect_at_once_when_a_refusing_agent_accepts_connections_again() {
     let backends = Backends::new();
     let proxy = Proxy::start(&[&backends.listeners[0], &backends.listeners[1]]);
     let agent = refusing_backend();
-    the_drain_binds(&proxy, &backends, || {
+    check_drain_after_outage(&proxy, &backends, || {
         proxy.switch_agent(&agent);
         std::thread::sleep(Duration::from_secs(4));
         socket2::SockRef::from(&agent).listen(64).unwrap();
@@ -121,33 +125,34 @@
     });
 }
 
-/// Where lists are asked for, one service takes the calls of all proxies in their turn. Guards against calls that are
-/// given up before their turn has come, each of which holds up the next: a service that is busy then answers nobody.
+/// In the `on_request` mode one service handles the requests of all proxies one after another. Guards against
+/// requests that time out before the service gets to them, each of which delays the next: a busy service then
+/// serves nobody.
 #[test]
-fn a_list_service_that_is_busy_gets_one_call_and_time_to_answer_it() {
+fn busy_list_service_gets_one_request_and_time_to_respond() {
     let backends = Backends::new();
-    let asked = settings(5000, "").replace(r#""discovery":"pushed""#, r#""discovery":"on_request""#);
-    let proxy = Proxy::start_with(&[&backends.listeners[0], &backends.listeners[1]], 1024, &asked);
+    let on_request = settings(5000, "").replace(r#""discovery":"pushed""#, r#""discovery":"on_request""#);
+    let proxy = Proxy::start_with(&[&backends.listeners[0], &backends.listeners[1]], 1024, &on_request);
     let service = backend();
     proxy.switch_agent(&service);
-    let mut call = accept(&service);
+    let mut list_request = accept(&service);
     assert!(
-        read_message(&mut call).starts_with("GET /v1/endpoints HTTP"),
-        "a new service is asked for the whole list"
+        read_message(&mut list_request).starts_with("GET /v1/endpoints HTTP"),
+        "a new service is asked for the full list"
     );
-    // It is busy for so long: the call has to stay open, and no second one may come.
-    call.set_read_timeout(Some(Duration::from_millis(1200))).unwrap();
-    let given_up = call.read(&mut [0]).map_err(|e| e.kind());
-    assert!(given_up.is_err(), "the call is given up: {given_up:?}");
+    // The service is busy for this long: the request has to stay open, and no second one may come.
+    list_request.set_read_timeout(Some(Duration::from_millis(1200))).unwrap();
+    let read = list_request.read(&mut [0]).map_err(|e| e.kind());
+    assert!(read.is_err(), "the proxy closed its request: {read:?}");
     service.set_nonblocking(true).unwrap();
-    assert!(service.accept().is_err(), "a second call, while the first is out");
+    assert!(service.accept().is_err(), "a second request while the first is open");
     service.set_nonblocking(false).unwrap();
-    call.set_read_timeout(Some(Duration::from_secs(9))).unwrap();
-    write(&mut call, &backends.drain());
-    // The next call shows that the list was taken in.
-    assert!(read_message(&mut call).starts_with("GET /v1/endpoints?index=5&"));
-    let from = Instant::now();
+    list_request.set_read_timeout(Some(Duration::from_secs(9))).unwrap();
+    write(&mut list_request, &backends.draining_list());
+    // The next request shows that the list was applied.
+    assert!(read_message(&mut list_request).starts_with("GET /v1/endpoints?index=5&"));
+    let start = Instant::now();
     (0..20).for_each(|_| assert!(proxy.fetch(&request("GET", "/read", "4")).ends_with("fine")));
-    assert_eq!(backends.got(0, from), 0, "requests to a backend that drains");
-    assert_eq!(backends.got(1, from), 20);
+    assert_eq!(backends.requests_since(0, start), 0, "requests to a draining backend");
+    assert_eq!(backends.requests_since(1, start), 20);
 }
--- a/crates/proxy/tests/slow_connects.rs
+++ b/crates/proxy/tests/slow_connects.rs
@@ -1,4 +1,5 @@
-//! Connections to backends that come up late, and what is owed by then.
+//! Connections to backends that are established late: what is written then has to carry the time that is
+//! left, and a retry must not be written after its window.
 
 mod helper;
 
@@ -11,48 +12,53 @@
     unreachable_backend, write, Proxy,
 };
 
-/// Long deadlines, and much time for a connection to come up: what does in a second here has not come up late.
-fn slow(effect: &str) -> String {
+/// Settings with long deadlines and a long connect time-out, so that a connect that takes a second is no
+/// failure.
+fn patient_settings(effect: &str) -> String {
     let settings = settings(20_000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":20000");
     settings.replace(r#""effect":"pure""#, effect)
 }
 
-/// Takes what has filled a listener's backlog out of the way. What was dialled meanwhile comes up with the kernel's next
-/// try, a second after the first.
-fn make_way(backend: &TcpListener, full: &[TcpStream]) {
+/// Accepts and closes the connections that filled the listener's backlog. Connections attempted meanwhile are
+/// established with the kernel's next SYN, one second after the first.
+fn clear_backlog(backend: &TcpListener, full: &[TcpStream]) {
     full.iter().for_each(|_| drop(accept(backend)));
 }
 
-fn told(text: &str) -> f64 {
-    let told = text.lines().find_map(|line| line.strip_prefix("Request-Timeout: "));
-    told.unwrap_or_else(|| panic!("{text}")).parse().unwrap()
+fn request_timeout_s(text: &str) -> f64 {
+    let header = text.lines().find_map(|line| line.strip_prefix("Request-Timeout: "));
+    header.unwrap_or_else(|| panic!("{text}")).parse().unwrap()
 }
 
-/// Guards against a backend that goes on working for a client that waits no more.
+/// Guards against a backend that goes on working for a client that no longer waits.
 #[test]
-fn an_attempt_tells_what_is_left_when_it_is_written_not_when_it_was_decided() {
+fn request_timeout_is_the_time_left_at_the_write_not_at_the_decision() {
     let (backend, full) = unreachable_backend();
-    let proxy = Proxy::start_with(&[&backend], 1024, &slow(r#""effect":"pure""#));
+    let proxy = Proxy::start_with(&[&backend], 1024, &patient_settings(r#""effect":"pure""#));
     let (mut client, sent) = (proxy.connect(), Instant::now());
     write(&mut client, &request("GET", "/read", "15"));
     while counter(&proxy, "dialled") < 1 {}
     std::thread::sleep(Duration::from_millis(500));
-    // It can't have been written before this.
-    let passed = sent.elapsed().as_secs_f64();
-    make_way(&backend, &full);
+    // The request can't have been written before this.
+    let elapsed_s = sent.elapsed().as_secs_f64();
+    clear_backlog(&backend, &full);
     let mut conn = accept(&backend);
     let text = read_message(&mut conn);
-    assert!(told(&text) <= 15.0 - passed, "{} s told, {passed} s after it came", told(&text));
-    assert!(told(&text) > 5.0, "{}", told(&text));
+    assert!(
+        request_timeout_s(&text) <= 15.0 - elapsed_s,
+        "a time-out of {} s, {elapsed_s} s after the request was sent",
+        request_timeout_s(&text)
+    );
+    assert!(request_timeout_s(&text) > 5.0, "{}", request_timeout_s(&text));
     write(&mut conn, &response("200 OK", "", "fine"));
     assert!(read_message(&mut client).ends_with("fine"));
 }
 
-/// A further attempt of what may have run is dialled, and comes up after some time; the answer's status, and how many
-/// further attempts the backend has got.
-fn a_repeat_that_comes_up_late(window_ms: u32, wait: Duration) -> (String, usize) {
+/// Plays a retry of a keyed request that may have run, whose connection is established only after `wait`.
+/// Returns the response, and how many retries the backend received.
+fn retry_with_a_slow_connect(window_ms: u32, wait: Duration) -> (String, usize) {
     let backend = backend();
-    let keyed = slow(&format!(r#""effect":"token","group":"all","windowMs":{window_ms}"#));
+    let keyed = patient_settings(&format!(r#""effect":"token","group":"all","windowMs":{window_ms}"#));
     let proxy = Proxy::start_with(&[&backend], 1024, &keyed);
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/read", "15"));
@@ -62,31 +68,31 @@
     close(first);
     while counter(&proxy, "forwards") < 2 {}
     std::thread::sleep(wait);
-    make_way(&backend, &full);
-    let (got, seen) = channel();
+    clear_backlog(&backend, &full);
+    let (received, retries) = channel();
     std::thread::spawn(move || {
         while let Ok((mut conn, _)) = backend.accept() {
-            if !read_message(&mut conn).is_empty() && got.send(()).is_ok() {
+            if !read_message(&mut conn).is_empty() && received.send(()).is_ok() {
                 write(&mut conn, &response("200 OK", "", "fine"));
             }
         }
     });
-    let answer = read_message(&mut client);
-    (answer, seen.try_iter().count())
+    let response = read_message(&mut client);
+    (response, retries.try_iter().count())
 }
 
-/// Guards against an effect that happens twice: the backends drop a repeat up to the window's end, and a connection that
-/// comes up after that would bring one that none of them drops.
+/// Guards against an effect that happens twice: the backends drop duplicates until the window ends, so a
+/// connection that is established after it would carry a duplicate that none of them drops.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_is_not_written() {
-    let (answer, repeats) = a_repeat_that_comes_up_late(800, Duration::from_millis(900));
-    assert_eq!(repeats, 0, "{answer}");
-    assert!(answer.starts_with("HTTP/1.1 503"), "given up at the window's end: {answer}");
+fn retry_whose_connection_is_established_after_the_window_is_not_written() {
+    let (response, retries) = retry_with_a_slow_connect(800, Duration::from_millis(900));
+    assert_eq!(retries, 0, "{response}");
+    assert!(response.starts_with("HTTP/1.1 503"), "given up at the window's end: {response}");
 }
 
-/// And it goes on as long as they do.
+/// As long as the backends drop duplicates, the retry is sent.
 #[test]
-fn a_repeat_whose_connection_comes_up_within_the_window_goes_on() {
-    let (answer, repeats) = a_repeat_that_comes_up_late(60_000, Duration::ZERO);
-    assert_eq!((repeats, answer.ends_with("fine")), (1, true), "{answer}");
+fn retry_whose_connection_is_established_within_the_window_is_sent() {
+    let (response, retries) = retry_with_a_slow_connect(60_000, Duration::ZERO);
+    assert_eq!((retries, response.ends_with("fine")), (1, true), "{response}");
 }
--- a/crates/proxy/tests/truncated_responses.rs
+++ b/crates/proxy/tests/truncated_responses.rs
@@ -1,4 +1,5 @@
-//! Answers of backends that end in the wrong place: no client takes one for whole, and what may run once runs once.
+//! Guards against responses that a backend breaks off: no client may take one for complete, and an
+//! at-most-once request must not be sent again after one.
 
 mod helper;
 
@@ -8,38 +9,45 @@
 
 use helper::{accept, backend, close, counter, read_message, request, response, settings, write, Proxy};
 
-/// Closes a connection with a reset.
+/// Closes a connection with a TCP RST.
 fn reset(conn: TcpStream) {
     socket2::SockRef::from(&conn).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// How an answer ends that has begun with some bytes.
-type End = fn(TcpStream);
+/// How the backend ends its connection after the first bytes of a response.
+type EndConnection = fn(TcpStream);
 
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const UNKNOWN: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
+const UNKNOWN_LENGTH: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
-/// Sends a request and ends the answer to it; all that the client gets, and how many attempts there were.
-fn all_that_comes(method: &str, path: &str, begins: &str, end: End) -> (Vec<u8>, u64) {
+/// Sends a request to which the first response is `partial` and then breaks off. Returns all bytes that the
+/// client receives, and the number of attempts.
+fn request_with_truncated_response(
+    method: &str,
+    path: &str,
+    partial: &str,
+    end: EndConnection,
+) -> (Vec<u8>, u64) {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(20_000, ""));
     let mut client = proxy.connect();
     write(&mut client, &request(method, path, "30"));
     let mut conn = accept(&backend);
     read_message(&mut conn);
-    // Both in one turn: guards against a part that goes on before the end is there.
+    // The loop finds the partial response and the end together, so that it can't forward the part before the
+    // end.
     proxy.pause();
-    write(&mut conn, begins);
+    write(&mut conn, partial);
     end(conn);
     proxy.resume();
-    let (listener, mut all) = (backend.try_clone().unwrap(), Vec::new());
-    std::thread::spawn(move || serve(&listener));
-    let _ = client.read_to_end(&mut all);
-    (all, counter(&proxy, "forwards"))
+    let (listener, mut received) = (backend.try_clone().unwrap(), Vec::new());
+    std::thread::spawn(move || serve_complete_responses(&listener));
+    let _ = client.read_to_end(&mut received);
+    (received, counter(&proxy, "forwards"))
 }
 
-/// Answers what comes from here on.
-fn serve(listener: &TcpListener) {
+/// Serves every further connection with a complete response.
+fn serve_complete_responses(listener: &TcpListener) {
     while let Ok((mut conn, _)) = listener.accept() {
         if !read_message(&mut conn).is_empty() {
             write(&mut conn, &response("200 OK", "Connection: close\r\n", "fine"));
@@ -47,83 +55,88 @@
     }
 }
 
-/// Each of them begins well.
-const ENDS: [(&str, &str, End); 6] = [
+/// The name of the case, the valid bytes that the response begins with, and how the connection ends after
+/// them.
+const TRUNCATIONS: [(&str, &str, EndConnection); 6] = [
     ("no length, reset", "half of it", reset),
-    ("no length, reset before its body", "", reset),
-    ("a length, an end before it", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", close),
-    ("a length, reset before it", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", reset),
-    ("chunks, an end within one", "5\r\nhal", close),
-    ("chunks, an end between two", "4\r\nhalf\r\n", close),
+    ("no length, reset before the body", "", reset),
+    ("a length, closed within the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", close),
+    ("a length, reset within the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", reset),
+    ("chunks, closed within one", "5\r\nhal", close),
+    ("chunks, closed between two", "4\r\nhalf\r\n", close),
 ];
 
-fn beginning(what: &str, begins: &str) -> String {
-    let head = match what.split(',').next() {
-        Some("no length") => UNKNOWN,
+/// The beginning of a response, with the head that the case calls for if `bytes` has none.
+fn partial_response(case: &str, bytes: &str) -> String {
+    let head = match case.split(',').next() {
+        Some("no length") => UNKNOWN_LENGTH,
         Some("chunks") => CHUNKED,
         _ => "",
     };
-    format!("{head}{begins}")
+    format!("{head}{bytes}")
 }
 
 #[test]
-fn what_may_run_once_fails_when_its_answer_breaks_off_and_is_not_sent_again() {
-    for (what, begins, end) in ENDS {
-        let (all, attempts) = all_that_comes("POST", "/write", &beginning(what, begins), end);
-        assert!(all.starts_with(b"HTTP/1.1 502"), "{what}: {}", String::from_utf8_lossy(&all));
-        assert_eq!(attempts, 1, "{what}");
+fn at_most_once_request_fails_without_a_retry_when_its_response_is_truncated() {
+    for (case, bytes, end) in TRUNCATIONS {
+        let (received, attempts) =
+            request_with_truncated_response("POST", "/write", &partial_response(case, bytes), end);
+        assert!(received.starts_with(b"HTTP/1.1 502"), "{case}: {}", String::from_utf8_lossy(&received));
+        assert_eq!(attempts, 1, "{case}");
     }
 }
 
 #[test]
-fn what_is_safe_to_repeat_goes_again_when_its_answer_breaks_off() {
-    for (what, begins, end) in ENDS {
-        let (all, attempts) = all_that_comes("GET", "/read", &beginning(what, begins), end);
-        assert!(all.ends_with(b"fine"), "{what}: {}", String::from_utf8_lossy(&all));
-        assert_eq!(attempts, 2, "{what}");
+fn safe_request_is_retried_when_its_response_is_truncated() {
+    for (case, bytes, end) in TRUNCATIONS {
+        let (received, attempts) =
+            request_with_truncated_response("GET", "/read", &partial_response(case, bytes), end);
+        assert!(received.ends_with(b"fine"), "{case}: {}", String::from_utf8_lossy(&received));
+        assert_eq!(attempts, 2, "{case}");
     }
 }
 
-/// Once a part of it has gone on, its client sees that it is not whole: the last chunk never comes.
+/// Once a part of the response was forwarded, the client sees that it is incomplete: the last chunk never
+/// comes.
 #[test]
-fn an_answer_without_a_length_that_is_reset_later_is_not_whole_to_the_client() {
+fn response_of_unknown_length_that_is_reset_midway_is_incomplete_for_the_client() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(20_000, ""));
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/write", "30"));
     let mut conn = accept(&backend);
     read_message(&mut conn);
-    write(&mut conn, &format!("{UNKNOWN}half"));
-    let (mut all, mut byte) = (Vec::new(), [0]);
-    while !all.ends_with(b"half\r\n") {
+    write(&mut conn, &format!("{UNKNOWN_LENGTH}half"));
+    let (mut received, mut byte) = (Vec::new(), [0]);
+    while !received.ends_with(b"half\r\n") {
         client.read_exact(&mut byte).unwrap();
-        all.extend(byte);
+        received.extend(byte);
     }
     reset(conn);
-    let _ = client.read_to_end(&mut all);
-    let text = String::from_utf8(all).unwrap();
+    let _ = client.read_to_end(&mut received);
+    let text = String::from_utf8(received).unwrap();
     assert!(text.contains("Transfer-Encoding: chunked") && !text.ends_with("0\r\n\r\n"), "{text}");
     assert_eq!(counter(&proxy, "forwards"), 1);
 }
 
-/// Words on the way are no answer: silence behind them ends as silence does, by the request's time.
+/// An interim (1xx) response is no response: if nothing follows it, the request ends by its time-out.
 #[test]
-fn a_word_on_the_way_and_then_silence_is_silence() {
+fn silence_after_an_interim_response_ends_with_the_time_out() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(500, ""));
-    let (mut client, from) = (proxy.connect(), Instant::now());
+    let (mut client, start) = (proxy.connect(), Instant::now());
     write(&mut client, &request("POST", "/write", "1"));
     let mut conn = accept(&backend);
     read_message(&mut conn);
     write(&mut conn, "HTTP/1.1 102 Processing\r\n\r\n");
     assert!(read_message(&mut client).starts_with("HTTP/1.1 502"));
-    assert!(from.elapsed() < Duration::from_secs(1), "{:?}", from.elapsed());
-    assert_eq!(conn.read(&mut [0]).unwrap(), 0, "and the attempt is given up");
+    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
+    assert_eq!(conn.read(&mut [0]).unwrap(), 0, "the attempt is cancelled");
 }
 
-/// An answer and the end of the time for it, found in one turn: it is an answer.
+/// The loop finds the response and the expired time-out in the same iteration: the response counts.
 #[test]
-fn an_answer_that_is_there_when_its_time_is_up_counts() {
+fn response_that_has_arrived_when_its_time_out_is_handled_is_served() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(400, ""));
     let mut client = proxy.connect();
@@ -132,7 +145,7 @@
     read_message(&mut conn);
     proxy.pause();
     write(&mut conn, &response("200 OK", "", "fine"));
-    std::thread::sleep(Duration::from_millis(900)); // its time passes while the loop stands still
+    std::thread::sleep(Duration::from_millis(900)); // the time-out passes while the loop is stopped
     proxy.resume();
     assert!(read_message(&mut client).ends_with("fine"));
     assert_eq!(counter(&proxy, "overdue"), 0);
