--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -13,7 +13,7 @@
 use sparlug_lab::ledger::Rule;
 use sparlug_lab::source::Source;
 use sparlug_lab::world::Failure;
-use sparlug_lab::{peer, report};
+use sparlug_lab::{component, report};
 
 use crate::{hold, Failed};
 
@@ -322,7 +322,7 @@
                 print!("{}", report::compare(&read_results(&a)?, &read_results(&b)?));
                 Ok(())
             }
-            Lab::Peer => peer::peer_main().map_err(Failed::could_not),
+            Lab::Peer => component::process_main().map_err(Failed::could_not),
             Lab::Hold { pin, program } => hold::hold(pin, &program),
         }
     }
--- a/crates/lab/src/agent.rs
+++ b/crates/lab/src/agent.rs
@@ -8,19 +8,24 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{At, Micros};
-use crate::hub::{ConnId, Gone, Hub, ListenerId, Part};
-use crate::message;
+use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
+use crate::http_message;
 use crate::record::What;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct BackendEntry {
     pub host: String,
-    pub dial: SocketAddr,
-    pub site: String,
-    pub block: usize,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
+    #[serde(rename = "site")]
+    pub zone: String,
+    #[serde(rename = "block")]
+    pub pod: usize,
     pub health: String,
-    pub share: f64,
-    pub born_ms: f64,
+    #[serde(rename = "share")]
+    pub size: f64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: f64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -28,13 +33,13 @@
     pub name: String,
     /// One address for each proxy, by its name.
     pub listen: Vec<(String, SocketAddr)>,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<BackendEntry>,
     pub lag: Micros,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    Set(Entry),
+    Set(BackendEntry),
     /// Says nothing to this proxy any more.
     Mute {
         proxy: usize,
@@ -71,10 +76,10 @@
 
 #[derive(Debug)]
 pub enum Due {
-    Set(Entry),
+    Set(BackendEntry),
     Wait(ConnId, u64),
     /// An answer that was held back.
-    Answer(ConnId, Vec<u8>, Vec<Entry>, u64),
+    Answer(ConnId, Vec<u8>, Vec<BackendEntry>, u64),
     /// A change has come of age for those who hear it late.
     Look,
 }
@@ -84,7 +89,7 @@
     listener: Option<ListenerId>,
     mute: bool,
     /// What it goes on with while it is stale.
-    frozen: Option<(u64, Vec<Entry>)>,
+    frozen: Option<(u64, Vec<BackendEntry>)>,
     behind: Option<Micros>,
     delay: Micros,
     address: SocketAddr,
@@ -99,16 +104,16 @@
 struct Stood {
     since: At,
     version: u64,
-    entries: Vec<Entry>,
+    entries: Vec<BackendEntry>,
 }
 
 pub struct Agent {
     spec: Spec,
     sides: Vec<Side>,
     version: u64,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, BackendEntry>,
     /// Which version changed which host last, and how it stood then.
-    changes: Vec<(u64, Entry)>,
+    changes: Vec<(u64, BackendEntry)>,
     history: Vec<Stood>,
     /// Watches that wait: the side, from which version, and the number of the call.
     waiting: BTreeMap<ConnId, (usize, u64, u64)>,
@@ -116,7 +121,7 @@
     calls: u64,
 }
 
-type Loop = Hub<Due>;
+type Loop = EventLoop<Due>;
 
 impl Agent {
     pub fn new(spec: Spec) -> Agent {
@@ -135,7 +140,7 @@
     }
 
     /// What this side is told: the version, and the list.
-    fn told_to(&self, side: usize, now: At) -> (u64, Vec<Entry>) {
+    fn told_to(&self, side: usize, now: At) -> (u64, Vec<BackendEntry>) {
         let side = &self.sides[side];
         if let Some(frozen) = &side.frozen {
             return frozen.clone();
@@ -145,7 +150,7 @@
         stood.map(|stood| (stood.version, stood.entries.clone())).unwrap_or_default()
     }
 
-    fn set(&mut self, hub: &mut Loop, entry: Entry) {
+    fn set(&mut self, event_loop: &mut Loop, entry: BackendEntry) {
         self.version += 1;
         if entry.health == "Gone" {
             self.entries.remove(&entry.host);
@@ -153,48 +158,48 @@
             self.entries.insert(entry.host.clone(), entry.clone());
         }
         self.changes.push((self.version, entry));
-        self.note(hub.now);
-        self.tell_all(hub);
+        self.note(event_loop.now);
+        self.tell_all(event_loop);
         for by in self.sides.iter().filter_map(|side| side.behind).collect::<Vec<_>>() {
-            hub.after(by + Micros(1), Due::Look);
+            event_loop.after(by + Micros(1), Due::Look);
         }
     }
 
-    fn tell_all(&mut self, hub: &mut Loop) {
-        self.count(hub);
+    fn tell_all(&mut self, event_loop: &mut Loop) {
+        self.count(event_loop);
         let all: Vec<_> = self.waiting.iter().map(|(conn, (side, from, _))| (*conn, *side, *from)).collect();
         for (conn, side, from) in all {
-            if !self.sides[side].mute && from != self.told_to(side, hub.now).0 {
+            if !self.sides[side].mute && from != self.told_to(side, event_loop.now).0 {
                 self.waiting.remove(&conn);
-                self.tell(hub, conn, side, Some(from));
+                self.tell(event_loop, conn, side, Some(from));
             }
         }
     }
 
     /// Counts as told what it has for each proxy: lists are pushed, and the agent is on the proxy's own machine.
     /// What it holds back itself counts when it is written.
-    fn count(&mut self, hub: &mut Loop) {
+    fn count(&mut self, event_loop: &mut Loop) {
         for side in 0..self.sides.len() {
             let Side { mute, cut, moved, delay, .. } = self.sides[side];
             if mute || cut || moved || delay > Micros::ZERO {
                 continue;
             }
-            let (seq, entries) = self.told_to(side, hub.now);
+            let (seq, entries) = self.told_to(side, event_loop.now);
             let has: BTreeMap<_, _> = entries.into_iter().map(|entry| (entry.host, entry.health)).collect();
             let side = &mut self.sides[side];
             let gone = side.had.keys().filter(|host| !has.contains_key(*host)).map(|host| (host, "Gone"));
             let changed = has.iter().filter(|(host, health)| side.had.get(*host) != Some(*health));
             for (host, health) in gone.chain(changed.map(|(host, health)| (host, health.as_str()))) {
                 let (proxy, host, health) = (side.name.clone(), host.clone(), health.to_string());
-                hub.record(What::Told { proxy, host, health, seq });
+                event_loop.record(What::Told { proxy, host, health, seq });
             }
             side.had = has;
         }
     }
 
     /// Writes the list, or what changed since a version.
-    fn tell(&mut self, hub: &mut Loop, conn: ConnId, side: usize, from: Option<u64>) {
-        let (version, entries) = self.told_to(side, hub.now);
+    fn tell(&mut self, event_loop: &mut Loop, conn: ConnId, side: usize, from: Option<u64>) {
+        let (version, entries) = self.told_to(side, event_loop.now);
         let known = from.filter(|from| *from <= version && *from >= 1000);
         let (whole, hosts) = match known {
             None => (true, entries),
@@ -206,93 +211,104 @@
             }
         };
         let body = serde_json::json!({ "seq": version, "whole": whole, "hosts": hosts }).to_string();
-        let answer =
-            message::write_answer(200, &[("Content-Type", "application/json".into())], body.as_bytes());
+        let answer = http_message::encode_response(
+            200,
+            &[("Content-Type", "application/json".into())],
+            body.as_bytes(),
+        );
         match self.sides[side].delay {
-            Micros::ZERO => self.answer(hub, conn, answer, hosts, version),
-            delay => hub.after(delay, Due::Answer(conn, answer, hosts, version)),
+            Micros::ZERO => self.answer(event_loop, conn, answer, hosts, version),
+            delay => event_loop.after(delay, Due::Answer(conn, answer, hosts, version)),
         }
     }
 
-    fn answer(&mut self, hub: &mut Loop, conn: ConnId, answer: Vec<u8>, hosts: Vec<Entry>, seq: u64) {
+    fn answer(
+        &mut self,
+        event_loop: &mut Loop,
+        conn: ConnId,
+        answer: Vec<u8>,
+        hosts: Vec<BackendEntry>,
+        seq: u64,
+    ) {
         // One that went away in the meantime has been told nothing.
         let Some(side) = self.conns.get(&conn).copied() else { return };
-        hub.write(conn, &answer);
+        event_loop.write(conn, &answer);
         let proxy = &self.sides[side].name;
         for entry in hosts {
             let (host, health) = (entry.host, entry.health);
-            hub.record(What::Told { proxy: proxy.clone(), host, health, seq });
+            event_loop.record(What::Told { proxy: proxy.clone(), host, health, seq });
         }
     }
 
-    fn calls_on(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn calls_on(&mut self, event_loop: &mut Loop, conn: ConnId) {
         let Some(side) = self.conns.get(&conn).copied() else { return };
         if self.sides[side].mute {
             return;
         }
-        while let Ok(Some(call)) = message::request(hub.input(conn)) {
-            hub.take(conn, call.length);
+        while let Ok(Some(call)) = http_message::parse_request(event_loop.input(conn)) {
+            event_loop.take(conn, call.length);
             let query = call.path.split_once('?').map_or("", |(_, query)| query);
             let field = |name: &str| {
                 let found = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
                 found.and_then(|value| value.parse::<u64>().ok())
             };
             if std::mem::take(&mut self.sides[side].moved) {
-                self.count(hub);
+                self.count(event_loop);
             }
             if !call.path.starts_with("/v1/endpoints") {
-                hub.write(conn, &message::write_answer(404, &[], b""));
+                event_loop.write(conn, &http_message::encode_response(404, &[], b""));
                 continue;
             }
-            let version = self.told_to(side, hub.now).0;
+            let version = self.told_to(side, event_loop.now).0;
             match (field("index"), field("wait")) {
                 (Some(from), Some(wait)) if from == version && wait > 0 => {
                     self.calls += 1;
                     self.waiting.insert(conn, (side, from, self.calls));
-                    hub.after(Micros::from_millis(wait.min(60_000) as i64), Due::Wait(conn, self.calls));
+                    event_loop
+                        .after(Micros::from_millis(wait.min(60_000) as i64), Due::Wait(conn, self.calls));
                 }
-                (from, _) => self.tell(hub, conn, side, from),
+                (from, _) => self.tell(event_loop, conn, side, from),
             }
         }
     }
 
-    fn shut(&mut self, hub: &mut Loop, side: usize, reset: bool) {
+    fn shut(&mut self, event_loop: &mut Loop, side: usize, reset: bool) {
         let Some(listener) = self.sides[side].listener.take() else { return };
-        hub.conns_of(listener).into_iter().for_each(|conn| {
+        event_loop.conns_of(listener).into_iter().for_each(|conn| {
             if reset {
-                hub.reset(conn);
+                event_loop.reset(conn);
             } else {
-                hub.close(conn);
+                event_loop.close(conn);
             }
             self.conns.remove(&conn);
             self.waiting.remove(&conn);
         });
-        hub.unlisten(listener);
+        event_loop.unlisten(listener);
     }
 
-    fn open(&mut self, hub: &mut Loop, side: usize) {
+    fn open(&mut self, event_loop: &mut Loop, side: usize) {
         let to = self.sides[side].address;
-        match hub.listen(to) {
+        match event_loop.listen(to) {
             Ok(listener) => self.sides[side].listener = Some(listener),
-            Err(e) => hub.record(What::Note { text: format!("agent cannot listen on {to}: {e}") }),
+            Err(e) => event_loop.record(What::Note { text: format!("agent cannot listen on {to}: {e}") }),
         }
     }
 
     /// Takes up what came in while it was silent.
-    fn speak_again(&mut self, hub: &mut Loop, side: usize) {
+    fn speak_again(&mut self, event_loop: &mut Loop, side: usize) {
         let conns: Vec<_> = self.conns.iter().filter(|(_, of)| **of == side).map(|(conn, _)| *conn).collect();
-        conns.into_iter().for_each(|conn| self.calls_on(hub, conn));
-        self.tell_all(hub);
+        conns.into_iter().for_each(|conn| self.calls_on(event_loop, conn));
+        self.tell_all(event_loop);
     }
 }
 
-impl Part for Agent {
+impl Component for Agent {
     type Due = Due;
     type Command = Command;
 
-    fn start(&mut self, hub: &mut Loop) -> io::Result<()> {
+    fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
         for (name, address) in self.spec.listen.clone() {
-            let listener = Some(hub.listen(address)?);
+            let listener = Some(event_loop.listen(address)?);
             let (mute, frozen, behind, delay, cut, moved) = Default::default();
             let had = self.entries.values().map(|entry| (entry.host.clone(), entry.health.clone())).collect();
             self.sides.push(Side { name, listener, mute, frozen, behind, delay, address, cut, moved, had });
@@ -306,74 +322,76 @@
         }
     }
 
-    fn read(&mut self, hub: &mut Loop, conn: ConnId) {
-        self.calls_on(hub, conn);
+    fn read(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        self.calls_on(event_loop, conn);
     }
 
-    fn gone(&mut self, hub: &mut Loop, conn: ConnId, _how: Gone) {
-        hub.close(conn);
+    fn gone(&mut self, event_loop: &mut Loop, conn: ConnId, _how: ConnectionEnd) {
+        event_loop.close(conn);
         self.conns.remove(&conn);
         self.waiting.remove(&conn);
     }
 
-    fn due(&mut self, hub: &mut Loop, due: Due) {
+    fn due(&mut self, event_loop: &mut Loop, due: Due) {
         match due {
-            Due::Set(entry) => self.set(hub, entry),
-            Due::Answer(conn, answer, hosts, version) => self.answer(hub, conn, answer, hosts, version),
-            Due::Look => self.tell_all(hub),
+            Due::Set(entry) => self.set(event_loop, entry),
+            Due::Answer(conn, answer, hosts, version) => {
+                self.answer(event_loop, conn, answer, hosts, version)
+            }
+            Due::Look => self.tell_all(event_loop),
             Due::Wait(conn, call) => {
                 let found =
                     self.waiting.get(&conn).filter(|(side, _, c)| *c == call && !self.sides[*side].mute);
                 if let Some((side, from, _)) = found.copied() {
                     self.waiting.remove(&conn);
-                    self.tell(hub, conn, side, Some(from));
+                    self.tell(event_loop, conn, side, Some(from));
                 }
             }
         }
     }
 
-    fn command(&mut self, hub: &mut Loop, command: Command) {
+    fn command(&mut self, event_loop: &mut Loop, command: Command) {
         match command {
             Command::Set(entry) => {
                 let lag = self.spec.lag;
-                hub.after(lag, Due::Set(entry));
+                event_loop.after(lag, Due::Set(entry));
             }
             Command::Mute { proxy, on } => {
                 self.sides[proxy].mute = on;
-                self.speak_again(hub, proxy);
+                self.speak_again(event_loop, proxy);
             }
             Command::Stale { proxy, on } => {
                 let now = (self.version, self.entries.values().cloned().collect());
                 self.sides[proxy].frozen = on.then_some(now);
-                self.speak_again(hub, proxy);
+                self.speak_again(event_loop, proxy);
             }
             Command::JumpBack { by } => {
                 // As after the loss of its memory: fewer versions than before, all of them new.
                 self.version = self.version.saturating_sub(by);
                 self.changes.clear();
                 self.version = self.version.min(999);
-                self.note(hub.now);
-                self.tell_all(hub);
+                self.note(event_loop.now);
+                self.tell_all(event_loop);
             }
             Command::Cut { proxy, on } => {
                 self.sides[proxy].cut = on;
                 if on {
-                    self.shut(hub, proxy, true);
+                    self.shut(event_loop, proxy, true);
                 } else {
-                    self.open(hub, proxy);
-                    self.count(hub);
+                    self.open(event_loop, proxy);
+                    self.count(event_loop);
                 }
             }
             Command::Behind { proxy, by } => {
                 self.sides[proxy].behind = by;
-                self.tell_all(hub);
+                self.tell_all(event_loop);
             }
             Command::Delay { proxy, by } => self.sides[proxy].delay = by,
             Command::Move { proxy, to } => {
                 (self.sides[proxy].address, self.sides[proxy].moved) = (to, true);
-                self.shut(hub, proxy, false);
+                self.shut(event_loop, proxy, false);
                 if !self.sides[proxy].cut {
-                    self.open(hub, proxy);
+                    self.open(event_loop, proxy);
                 }
             }
         }
--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -9,10 +9,10 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::agent::Entry;
+use crate::agent::BackendEntry;
 use crate::clock::{At, Micros};
-use crate::hub::{ConnId, Gone, Hub, ListenerId, Part};
-use crate::message;
+use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
+use crate::http_message;
 use crate::record::What;
 use crate::scenario::{Balance, Class, Effect, Planted};
 
@@ -21,15 +21,20 @@
     pub name: String,
     pub listen: SocketAddr,
     pub balance: Balance,
-    pub tries: u16,
+    #[serde(rename = "tries")]
+    pub max_attempts: u16,
     /// Time for each try; without it, all that is left.
-    pub try_time: Option<Micros>,
-    pub plant: Option<Planted>,
+    #[serde(rename = "try_time")]
+    pub attempt_timeout: Option<Micros>,
+    #[serde(rename = "plant")]
+    pub seeded_defect: Option<Planted>,
     /// What a backend that has just started can bear within a window, from all together.
-    pub allowance: (usize, Micros),
+    #[serde(rename = "allowance")]
+    pub slow_start_limit: (usize, Micros),
     /// It was there before, and has a list of old.
-    pub again: bool,
-    pub entries: Vec<Entry>,
+    #[serde(rename = "again")]
+    pub restarted: bool,
+    pub entries: Vec<BackendEntry>,
     pub classes: Vec<Class>,
     pub seed: u64,
 }
@@ -37,7 +42,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
     /// `first`: part of the first list that it is told.
-    Set { entry: Entry, first: bool },
+    Set { entry: BackendEntry, first: bool },
     /// Takes nothing new, and ends once all is answered.
     Leave,
 }
@@ -62,7 +67,7 @@
 
 pub struct Balancer {
     spec: Spec,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, BackendEntry>,
     in_flight: BTreeMap<String, usize>,
     held: BTreeMap<u64, Held>,
     clients: BTreeMap<ConnId, Option<u64>>,
@@ -79,7 +84,7 @@
     rng: ChaCha8Rng,
 }
 
-type Loop = Hub<Due>;
+type Loop = EventLoop<Due>;
 
 impl Balancer {
     pub fn new(spec: Spec) -> Balancer {
@@ -105,17 +110,18 @@
         }
     }
 
-    fn pick(&mut self, now: At) -> Option<Entry> {
-        let drained = self.spec.plant == Some(Planted::UseDrained);
-        let fit: Vec<&Entry> = self.entries.values().filter(|e| e.health == "Ready" || drained).collect();
+    fn pick(&mut self, now: At) -> Option<BackendEntry> {
+        let drained = self.spec.seeded_defect == Some(Planted::UseDrained);
+        let fit: Vec<&BackendEntry> =
+            self.entries.values().filter(|e| e.health == "Ready" || drained).collect();
         if fit.is_empty() {
             return None;
         }
         let newest = fit.iter().find(|entry| Some(&entry.host) == self.newest.as_ref());
-        match (self.spec.plant, newest) {
+        match (self.spec.seeded_defect, newest) {
             (Some(Planted::CrowdCold), Some(entry)) => return Some((*entry).clone()),
             (Some(Planted::CrowdTogether), Some(entry)) => {
-                let (most, window) = self.spec.allowance;
+                let (most, window) = self.spec.slow_start_limit;
                 while self.given.front().is_some_and(|at| now.since(*at) > window) {
                     self.given.pop_front();
                 }
@@ -140,39 +146,41 @@
         Some(fit[place].clone())
     }
 
-    fn request(&mut self, hub: &mut Loop, client: ConnId) {
-        let Ok(found) = message::request(hub.input(client)) else { return hub.close(client) };
+    fn request(&mut self, event_loop: &mut Loop, client: ConnId) {
+        let Ok(found) = http_message::parse_request(event_loop.input(client)) else {
+            return event_loop.close(client);
+        };
         let Some(request) = found else { return };
-        let bytes = hub.take(client, request.length);
+        let bytes = event_loop.take(client, request.length);
         let class = self.spec.classes.iter().find(|class| class.name == request.class()).cloned();
         if request.path == "/ready" {
-            return hub.write(client, &message::write_answer(200, &[], b""));
+            return event_loop.write(client, &http_message::encode_response(200, &[], b""));
         }
         let Some(class) = class else {
-            return hub.write(client, &message::write_answer(404, &[], b""));
+            return event_loop.write(client, &http_message::encode_response(404, &[], b""));
         };
         self.count += 1;
         let number = self.count;
         self.clients.insert(client, Some(number));
-        hub.after(class.cut_off.scaled(0.95), Due::CutOff(number));
-        let (since, out, tries) = (hub.now, None, 0);
+        event_loop.after(class.cut_off.scaled(0.95), Due::CutOff(number));
+        let (since, out, tries) = (event_loop.now, None, 0);
         self.held.insert(number, Held { client, class, since, bytes, out, tries, number });
-        self.send(hub, number);
+        self.send(event_loop, number);
     }
 
-    fn send(&mut self, hub: &mut Loop, number: u64) {
-        let Some(entry) = self.pick(hub.now) else { return self.answer(hub, number, 503) };
+    fn send(&mut self, event_loop: &mut Loop, number: u64) {
+        let Some(entry) = self.pick(event_loop.now) else { return self.answer(event_loop, number, 503) };
         let kept = self.kept.entry(entry.host.clone()).or_default();
-        let kept = std::iter::from_fn(|| kept.pop()).find(|conn| hub.is_open(*conn));
-        let Ok(conn) = kept.map_or_else(|| hub.dial(entry.dial), Ok) else {
-            return self.answer(hub, number, 503);
+        let kept = std::iter::from_fn(|| kept.pop()).find(|conn| event_loop.is_open(*conn));
+        let Ok(conn) = kept.map_or_else(|| event_loop.dial(entry.address), Ok) else {
+            return self.answer(event_loop, number, 503);
         };
         let Some(held) = self.held.get_mut(&number) else { return };
         held.tries += 1;
         held.out = Some((conn, entry.host.clone()));
-        hub.write(conn, &held.bytes);
-        if let Some(time) = self.spec.try_time {
-            hub.after(time, Due::Try(number, held.tries));
+        event_loop.write(conn, &held.bytes);
+        if let Some(time) = self.spec.attempt_timeout {
+            event_loop.after(time, Due::Try(number, held.tries));
         }
         *self.in_flight.entry(entry.host).or_default() += 1;
         self.outs.insert(conn, number);
@@ -181,9 +189,9 @@
     /// The forward that is out has ended: answered, or `None` for a break.
     fn ended(
         &mut self,
-        hub: &mut Loop,
+        event_loop: &mut Loop,
         conn: ConnId,
-        answer: Option<(message::Message, Vec<u8>)>,
+        answer: Option<(http_message::Message, Vec<u8>)>,
         refused: bool,
     ) {
         let Some(number) = self.outs.remove(&conn) else { return };
@@ -194,68 +202,68 @@
         let not_run = refused || answer.as_ref().is_some_and(|(a, _)| a.header("Not-Started").is_some());
         if let Some((found, bytes)) = answer {
             if found.status != 503 {
-                return self.pass_on(hub, number, bytes);
+                return self.pass_on(event_loop, number, bytes);
             }
         }
         let Some(held) = self.held.get(&number) else { return };
-        let careless = self.spec.plant == Some(Planted::Resend);
+        let careless = self.spec.seeded_defect == Some(Planted::Resend);
         let may = not_run || careless || held.class.effect == Effect::Reissuable;
-        if may && held.tries < self.spec.tries {
-            return self.send(hub, number);
+        if may && held.tries < self.spec.max_attempts {
+            return self.send(event_loop, number);
         }
-        let harmless = not_run || self.spec.plant == Some(Planted::FalseRefusal);
-        self.answer(hub, number, if harmless { 503 } else { 502 });
+        let harmless = not_run || self.spec.seeded_defect == Some(Planted::FalseRefusal);
+        self.answer(event_loop, number, if harmless { 503 } else { 502 });
     }
 
-    fn pass_on(&mut self, hub: &mut Loop, number: u64, bytes: Vec<u8>) {
+    fn pass_on(&mut self, event_loop: &mut Loop, number: u64, bytes: Vec<u8>) {
         let Some(held) = self.held.get(&number) else { return };
         let nth = held.number.is_multiple_of(20);
-        match self.spec.plant {
+        match self.spec.seeded_defect {
             Some(Planted::DropAnswer) if nth => return,
             Some(Planted::AnswerLate) if nth => {
                 let late = held.since + held.class.cut_off + Micros::from_millis(120);
-                return hub.at(late, Due::Answer(number, bytes));
+                return event_loop.at(late, Due::Answer(number, bytes));
             }
-            Some(Planted::AnswerTwice) if nth => hub.write(held.client, &bytes),
+            Some(Planted::AnswerTwice) if nth => event_loop.write(held.client, &bytes),
             _ => {}
         }
-        self.finish(hub, number, &bytes);
+        self.finish(event_loop, number, &bytes);
     }
 
-    fn answer(&mut self, hub: &mut Loop, number: u64, status: u16) {
-        self.finish(hub, number, &message::write_answer(status, &[], b""));
+    fn answer(&mut self, event_loop: &mut Loop, number: u64, status: u16) {
+        self.finish(event_loop, number, &http_message::encode_response(status, &[], b""));
     }
 
-    fn finish(&mut self, hub: &mut Loop, number: u64, bytes: &[u8]) {
+    fn finish(&mut self, event_loop: &mut Loop, number: u64, bytes: &[u8]) {
         let Some(held) = self.held.remove(&number) else { return };
-        self.call_off(hub, held.out);
-        hub.write(held.client, bytes);
+        self.call_off(event_loop, held.out);
+        event_loop.write(held.client, bytes);
         self.clients.insert(held.client, None);
-        self.request(hub, held.client);
-        self.end_if_done(hub);
+        self.request(event_loop, held.client);
+        self.end_if_done(event_loop);
     }
 
-    fn end_if_done(&mut self, hub: &mut Loop) {
+    fn end_if_done(&mut self, event_loop: &mut Loop) {
         if self.leaving && self.held.is_empty() {
-            hub.halt();
+            event_loop.halt();
         }
     }
 
-    fn call_off(&mut self, hub: &mut Loop, out: Option<(ConnId, String)>) {
+    fn call_off(&mut self, event_loop: &mut Loop, out: Option<(ConnId, String)>) {
         if let Some((conn, host)) = out {
             self.outs.remove(&conn);
-            hub.close(conn);
+            event_loop.close(conn);
             self.in_flight.entry(host).and_modify(|n| *n = n.saturating_sub(1));
         }
     }
 }
 
-impl Part for Balancer {
+impl Component for Balancer {
     type Due = Due;
     type Command = Command;
 
-    fn start(&mut self, hub: &mut Loop) -> io::Result<()> {
-        self.listener = Some(hub.listen(self.spec.listen)?);
+    fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
+        self.listener = Some(event_loop.listen(self.spec.listen)?);
         Ok(())
     }
 
@@ -263,80 +271,80 @@
         self.clients.insert(conn, None);
     }
 
-    fn read(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn read(&mut self, event_loop: &mut Loop, conn: ConnId) {
         match self.clients.get(&conn) {
-            Some(None) => return self.request(hub, conn),
+            Some(None) => return self.request(event_loop, conn),
             Some(Some(_)) => return,
             None => {}
         }
-        match message::answer(hub.input(conn)) {
+        match http_message::parse_response(event_loop.input(conn)) {
             Ok(None) => {}
             Ok(Some(answer)) => {
-                let bytes = hub.take(conn, answer.length);
+                let bytes = event_loop.take(conn, answer.length);
                 let host = self.outs.get(&conn).and_then(|n| self.held.get(n)?.out.clone());
                 match host {
                     Some((_, host)) if !answer.closes() => self.kept.entry(host).or_default().push(conn),
-                    _ => hub.close(conn),
+                    _ => event_loop.close(conn),
                 }
-                self.ended(hub, conn, Some((answer, bytes)), false);
+                self.ended(event_loop, conn, Some((answer, bytes)), false);
             }
             Err(_) => {
-                hub.close(conn);
-                self.ended(hub, conn, None, false);
+                event_loop.close(conn);
+                self.ended(event_loop, conn, None, false);
             }
         }
     }
 
-    fn gone(&mut self, hub: &mut Loop, conn: ConnId, how: Gone) {
-        hub.close(conn);
+    fn gone(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd) {
+        event_loop.close(conn);
         match self.clients.remove(&conn) {
             Some(Some(number)) => {
                 let out = self.held.remove(&number).and_then(|held| held.out);
-                self.call_off(hub, out);
+                self.call_off(event_loop, out);
             }
             Some(None) => {}
-            None => self.ended(hub, conn, None, how == Gone::Refused),
+            None => self.ended(event_loop, conn, None, how == ConnectionEnd::Refused),
         }
     }
 
-    fn due(&mut self, hub: &mut Loop, due: Due) {
+    fn due(&mut self, event_loop: &mut Loop, due: Due) {
         match due {
             Due::Try(number, tries) => {
                 let Some(held) = self.held.get(&number).filter(|held| held.tries == tries) else { return };
                 if let Some((conn, _)) = held.out.clone() {
-                    hub.close(conn);
-                    self.ended(hub, conn, None, false);
+                    event_loop.close(conn);
+                    self.ended(event_loop, conn, None, false);
                 }
             }
             // What has an answer of a deliberate fault to come is left alone.
             Due::CutOff(number) => {
                 if self.held.get(&number).is_some_and(|held| held.out.is_some()) {
-                    self.answer(hub, number, 504);
+                    self.answer(event_loop, number, 504);
                 }
             }
-            Due::Answer(number, bytes) => self.finish(hub, number, &bytes),
+            Due::Answer(number, bytes) => self.finish(event_loop, number, &bytes),
         }
     }
 
-    fn command(&mut self, hub: &mut Loop, command: Command) {
+    fn command(&mut self, event_loop: &mut Loop, command: Command) {
         let (entry, first) = match command {
             Command::Set { entry, first } => (entry, first),
             Command::Leave => {
                 self.leaving = true;
                 if let Some(listener) = self.listener.take() {
-                    hub.unlisten(listener);
+                    event_loop.unlisten(listener);
                 }
-                return self.end_if_done(hub);
+                return self.end_if_done(event_loop);
             }
         };
         let (proxy, host, health) = (self.spec.name.clone(), entry.host.clone(), entry.health.clone());
-        hub.record(What::Told { proxy, host, health, seq: 0 });
-        let forgets = self.spec.plant == Some(Planted::ForgetDrain) && self.spec.again && first;
+        event_loop.record(What::Told { proxy, host, health, seq: 0 });
+        let forgets = self.spec.seeded_defect == Some(Planted::ForgetDrain) && self.spec.restarted && first;
         if forgets && entry.health == "Terminating" {
             return;
         }
-        let before = self.entries.get(&entry.host).map(|known| known.born_ms);
-        if entry.health == "Ready" && !first && before != Some(entry.born_ms) {
+        let before = self.entries.get(&entry.host).map(|known| known.started_ms);
+        if entry.health == "Ready" && !first && before != Some(entry.started_ms) {
             self.newest = Some(entry.host.clone());
         }
         if entry.health == "Gone" {
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{At, Micros};
-use crate::hub::{ConnId, Gone, Hub, ListenerId, Part};
-use crate::message;
+use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
+use crate::http_message;
 use crate::plan::Intent;
 use crate::record::What;
 use crate::scenario::{Callers, Class, Effect};
@@ -20,24 +20,29 @@
 const WAIT_ON: Micros = Micros::from_millis(250); // past the cut-off, to see what comes too late
 const DIAL: Micros = Micros::from_millis(1000);
 /// Between the openings of two connections that will stand idle.
-pub const IDLE_PACE: Micros = Micros(150);
+pub const IDLE_CONNECT_INTERVAL: Micros = Micros(150);
 const SETTLE: Micros = Micros::from_millis(5000); // at the end, for what is still out
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub name: String,
     pub classes: Vec<Class>,
-    pub callers: Callers,
+    #[serde(rename = "callers")]
+    pub behavior: Callers,
     pub intents: Vec<Intent>,
     /// So many callers in a closed loop; 0 for an open one.
-    pub closed: usize,
+    #[serde(rename = "closed")]
+    pub closed_loop_clients: usize,
     /// Whose turn is drawn at random for each try instead of by caller.
-    pub scatter: bool,
+    #[serde(rename = "scatter")]
+    pub random_target: bool,
     pub targets: Vec<(String, SocketAddr)>,
     /// Those of them that are not there yet.
-    pub absent: Vec<String>,
+    #[serde(rename = "absent")]
+    pub absent_targets: Vec<String>,
     pub start: At,
-    pub lasts: Micros,
+    #[serde(rename = "lasts")]
+    pub duration: Micros,
     pub seed: u64,
 }
 
@@ -105,14 +110,14 @@
     ended: bool,
 }
 
-type Loop = Hub<Due>;
+type Loop = EventLoop<Due>;
 
 impl Clients {
     pub fn new(spec: Spec) -> Clients {
         let target = |(name, address): &(String, SocketAddr)| Target {
             name: name.clone(),
             address: *address,
-            up: !spec.absent.contains(name),
+            up: !spec.absent_targets.contains(name),
             down_until: At::default(),
             kept: Vec::new(),
         };
@@ -147,7 +152,7 @@
         if all.is_empty() {
             return None;
         }
-        if self.spec.scatter {
+        if self.spec.random_target {
             return Some(all[self.rng.random_range(0..all.len())]);
         }
         // Callers are spread over those that belong to the deployment, whether they answer or not.
@@ -157,85 +162,91 @@
         Some(if all.contains(&own) { own } else { all[caller % all.len()] })
     }
 
-    fn begin(&mut self, hub: &mut Loop, intent: usize, due: At) {
+    fn begin(&mut self, event_loop: &mut Loop, intent: usize, due: At) {
         self.first_due.insert(intent, due);
         self.open += 1;
         if self.spec.intents[intent].bad {
-            return self.nonsense(hub, intent);
+            return self.nonsense(event_loop, intent);
         }
-        self.attempt(hub, intent, 0);
+        self.attempt(event_loop, intent, 0);
     }
 
     fn id(&self, intent: usize, try_no: u16) -> String {
         format!("{:x}-{intent:x}-{try_no}", self.spec.seed)
     }
 
-    fn attempt(&mut self, hub: &mut Loop, intent: usize, try_no: u16) {
-        let Some(target) = self.choose(intent, hub.now) else {
-            return self.not_taken(hub, intent, try_no, "no target is up");
+    fn attempt(&mut self, event_loop: &mut Loop, intent: usize, try_no: u16) {
+        let Some(target) = self.choose(intent, event_loop.now) else {
+            return self.not_taken(event_loop, intent, try_no, "no target is up");
         };
-        let keep = self.spec.callers.keep;
-        let kept = std::iter::from_fn(|| self.targets[target].kept.pop()).find(|conn| hub.is_open(*conn));
+        let keep = self.spec.behavior.keep;
+        let kept =
+            std::iter::from_fn(|| self.targets[target].kept.pop()).find(|conn| event_loop.is_open(*conn));
         let kept = kept.filter(|_| keep);
         if let Some(conn) = kept {
             self.idle.remove(&conn);
         }
-        let conn = match kept.map_or_else(|| hub.dial(self.targets[target].address), Ok) {
+        let conn = match kept.map_or_else(|| event_loop.dial(self.targets[target].address), Ok) {
             Ok(conn) => conn,
-            Err(e) => return self.not_taken(hub, intent, try_no, &e.to_string()),
+            Err(e) => return self.not_taken(event_loop, intent, try_no, &e.to_string()),
         };
         self.count += 1;
         let id = self.id(intent, try_no);
         let (number, up) = (self.count, kept.is_some());
-        let (sent, cut_off, again) = (None, hub.now, false);
+        let (sent, cut_off, again) = (None, event_loop.now, false);
         let attempt = Try { number, intent, try_no, id, target, kept: up, up, sent, cut_off, again };
         self.tries.insert(conn, attempt);
         if up {
-            self.send(hub, conn);
+            self.send(event_loop, conn);
         } else {
-            hub.after(DIAL, Due::DialLate(conn));
+            event_loop.after(DIAL, Due::DialLate(conn));
         }
     }
 
-    fn not_taken(&mut self, hub: &mut Loop, intent: usize, try_no: u16, why: &str) {
-        hub.record(What::NotTaken { id: self.id(intent, try_no), why: why.to_string() });
-        self.retry_or_over(hub, intent, try_no, true, None);
+    fn not_taken(&mut self, event_loop: &mut Loop, intent: usize, try_no: u16, why: &str) {
+        event_loop.record(What::NotTaken { id: self.id(intent, try_no), why: why.to_string() });
+        self.retry_or_over(event_loop, intent, try_no, true, None);
     }
 
-    fn send(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn send(&mut self, event_loop: &mut Loop, conn: ConnId) {
         let Some(attempt) = self.tries.get(&conn) else { return };
         let (intent, id) = (attempt.intent, attempt.id.clone());
         let class = self.class(intent).clone();
         let mut headers = vec![("Request-Id", id), ("Request-Class", class.name.clone())];
         headers.push(("Request-Timeout", format!("{:.3}", class.cut_off.secs())));
-        if self.spec.callers.marks && attempt.try_no > 0 {
+        if self.spec.behavior.marks && attempt.try_no > 0 {
             headers.push(("Client-Retry", "1".to_string()));
         }
         let once = class.effect != Effect::Reissuable;
         let (method, body) = if once { ("POST", vec![b'b'; class.body]) } else { ("GET", Vec::new()) };
-        let bytes =
-            message::write_request(method, &format!("/{}", class.name), "api.internal", &headers, &body);
+        let bytes = http_message::encode_request(
+            method,
+            &format!("/{}", class.name),
+            "api.internal",
+            &headers,
+            &body,
+        );
         if self.spec.intents[intent].slow_send {
-            return self.piece(hub, conn, bytes);
+            return self.piece(event_loop, conn, bytes);
         }
-        hub.write(conn, &bytes);
-        self.sent(hub, conn);
+        event_loop.write(conn, &bytes);
+        self.sent(event_loop, conn);
     }
 
     /// Sends a few bytes now and the rest later.
-    fn piece(&mut self, hub: &mut Loop, conn: ConnId, bytes: Vec<u8>) {
+    fn piece(&mut self, event_loop: &mut Loop, conn: ConnId, bytes: Vec<u8>) {
         let (now, rest) = bytes.split_at(bytes.len().min(40));
-        hub.write(conn, now);
+        event_loop.write(conn, now);
         if rest.is_empty() {
-            self.sent(hub, conn);
+            self.sent(event_loop, conn);
         } else {
-            hub.after(Micros::from_millis(60), Due::Piece(conn, rest.to_vec()));
+            event_loop.after(Micros::from_millis(60), Due::Piece(conn, rest.to_vec()));
         }
     }
 
     /// Notes the moment at which the last byte was written.
-    fn sent(&mut self, hub: &mut Loop, conn: ConnId) {
-        if hub.unwritten(conn) > 0 {
+    fn sent(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        if event_loop.unwritten(conn) > 0 {
             return;
         }
         let Some(attempt) = self.tries.get(&conn).filter(|attempt| attempt.sent.is_none()) else { return };
@@ -248,126 +259,150 @@
         (attempt.sent, attempt.cut_off) = (Some(now), now + class.cut_off);
         let (id, to) = (attempt.id.clone(), self.targets[attempt.target].name.clone());
         let (cut_off, try_no) = (attempt.cut_off, attempt.try_no);
-        hub.record(What::Sent { id, intent: intent as u64, class: class.name, to, due, cut_off, try_no });
+        event_loop.record(What::Sent {
+            id,
+            intent: intent as u64,
+            class: class.name,
+            to,
+            due,
+            cut_off,
+            try_no,
+        });
         if impatient {
-            hub.at(now + class.cut_off.scaled(self.spec.callers.leave_at), Due::Leave(conn, number));
+            event_loop.at(now + class.cut_off.scaled(self.spec.behavior.leave_at), Due::Leave(conn, number));
         }
         if slow_read {
-            hub.pause(conn, true);
-            hub.at(now + class.cut_off.scaled(0.3), Due::ReadOn(conn));
+            event_loop.pause(conn, true);
+            event_loop.at(now + class.cut_off.scaled(0.3), Due::ReadOn(conn));
         }
-        hub.at(cut_off + WAIT_ON, Due::Leave(conn, number));
+        event_loop.at(cut_off + WAIT_ON, Due::Leave(conn, number));
     }
 
-    fn answered(&mut self, hub: &mut Loop, conn: ConnId, answer: message::Message) {
+    fn answered(&mut self, event_loop: &mut Loop, conn: ConnId, answer: http_message::Message) {
         let Some(attempt) = self.tries.remove(&conn) else { return };
-        hub.take(conn, answer.length);
+        event_loop.take(conn, answer.length);
         let retry_after_ms = answer.number("Retry-After").map(|seconds| seconds * 1000.0);
-        hub.record(What::Answered { id: attempt.id.clone(), status: answer.status, retry_after_ms });
+        event_loop.record(What::Answered { id: attempt.id.clone(), status: answer.status, retry_after_ms });
         // More than was asked for.
-        let more = hub.input(conn).len();
+        let more = event_loop.input(conn).len();
         if more > 0 {
-            hub.record(What::Unasked { id: attempt.id.clone(), bytes: more });
-            hub.close(conn);
-        } else if answer.closes() || !self.spec.callers.keep {
+            event_loop.record(What::Unasked { id: attempt.id.clone(), bytes: more });
+            event_loop.close(conn);
+        } else if answer.closes() || !self.spec.behavior.keep {
             self.idle.insert(conn, usize::MAX);
-            hub.after(Micros::from_millis(200), Due::Close(conn));
+            event_loop.after(Micros::from_millis(200), Due::Close(conn));
         } else {
             self.idle.insert(conn, attempt.target);
             self.targets[attempt.target].kept.push(conn);
         }
         if answer.status == 200 {
-            return self.over(hub, attempt.intent, attempt.try_no, true);
+            return self.over(event_loop, attempt.intent, attempt.try_no, true);
         }
         let refused = matches!(answer.status, 429 | 503);
-        self.retry_or_over(hub, attempt.intent, attempt.try_no, refused, retry_after_ms);
+        self.retry_or_over(event_loop, attempt.intent, attempt.try_no, refused, retry_after_ms);
     }
 
     /// `safe`: it is known that nothing was done.
-    fn retry_or_over(&mut self, hub: &mut Loop, intent: usize, try_no: u16, safe: bool, after: Option<f64>) {
+    fn retry_or_over(
+        &mut self,
+        event_loop: &mut Loop,
+        intent: usize,
+        try_no: u16,
+        safe: bool,
+        after: Option<f64>,
+    ) {
         let may = safe || self.class(intent).effect == Effect::Reissuable;
-        if !may || try_no >= self.spec.callers.retries || hub.now > self.spec.start + self.spec.lasts {
-            return self.over(hub, intent, try_no, false);
-        }
-        let honours = self.rng.random::<f64>() < self.spec.callers.honour;
-        let own = self.spec.callers.backoff.scaled(f64::from(1u32 << try_no.min(8)));
+        if !may
+            || try_no >= self.spec.behavior.retries
+            || event_loop.now > self.spec.start + self.spec.duration
+        {
+            return self.over(event_loop, intent, try_no, false);
+        }
+        let honours = self.rng.random::<f64>() < self.spec.behavior.honour;
+        let own = self.spec.behavior.backoff.scaled(f64::from(1u32 << try_no.min(8)));
         let own = own.scaled(0.5 + self.rng.random::<f64>());
         let wait = after.filter(|_| honours).map_or(own, Micros::from_ms);
-        hub.after(wait, Due::Retry(intent, try_no + 1));
+        event_loop.after(wait, Due::Retry(intent, try_no + 1));
     }
 
-    fn over(&mut self, hub: &mut Loop, intent: usize, try_no: u16, honoured: bool) {
-        let due = self.first_due.remove(&intent).unwrap_or(hub.now);
+    fn over(&mut self, event_loop: &mut Loop, intent: usize, try_no: u16, honoured: bool) {
+        let due = self.first_due.remove(&intent).unwrap_or(event_loop.now);
         let class = self.class(intent).name.clone();
-        hub.record(What::Over { intent: intent as u64, class, due, honoured, tries: try_no + 1 });
+        event_loop.record(What::Over { intent: intent as u64, class, due, honoured, tries: try_no + 1 });
         self.open -= 1;
-        if self.spec.closed > 0 {
-            self.next_closed(hub);
+        if self.spec.closed_loop_clients > 0 {
+            self.next_closed(event_loop);
         }
-        self.end_if_done(hub);
+        self.end_if_done(event_loop);
     }
 
-    fn end_if_done(&mut self, hub: &mut Loop) {
+    fn end_if_done(&mut self, event_loop: &mut Loop) {
         if self.ended && self.open == 0 {
-            hub.halt();
+            event_loop.halt();
         }
     }
 
-    fn next_closed(&mut self, hub: &mut Loop) {
-        if !self.ended && self.next < self.spec.intents.len() && hub.now < self.spec.start + self.spec.lasts {
+    fn next_closed(&mut self, event_loop: &mut Loop) {
+        if !self.ended
+            && self.next < self.spec.intents.len()
+            && event_loop.now < self.spec.start + self.spec.duration
+        {
             self.next += 1;
-            self.begin(hub, self.next - 1, hub.now);
+            self.begin(event_loop, self.next - 1, event_loop.now);
         }
     }
 
     /// The connection of a try ended with no whole answer.
-    fn lost(&mut self, hub: &mut Loop, conn: ConnId, how: Gone, any: bool) {
+    fn lost(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd, any: bool) {
         let Some(mut attempt) = self.tries.remove(&conn) else { return };
         let (intent, try_no) = (attempt.intent, attempt.try_no);
-        if how == Gone::Refused || attempt.sent.is_none() {
+        if how == ConnectionEnd::Refused || attempt.sent.is_none() {
             if !attempt.kept {
-                self.targets[attempt.target].down_until = hub.now + DOWN;
+                self.targets[attempt.target].down_until = event_loop.now + DOWN;
             }
-            hub.record(What::NotTaken { id: attempt.id, why: format!("{how:?}") });
-            return self.retry_or_over(hub, intent, try_no, true, None);
+            event_loop.record(What::NotTaken { id: attempt.id, why: format!("{how:?}") });
+            return self.retry_or_over(event_loop, intent, try_no, true, None);
         }
         let once = self.class(intent).effect == Effect::AtMostOnce;
         if attempt.kept && !any && !attempt.again && !once {
-            if let Ok(conn) = hub.dial(self.targets[attempt.target].address) {
-                hub.record(What::SentAgain { id: attempt.id.clone() });
+            if let Ok(conn) = event_loop.dial(self.targets[attempt.target].address) {
+                event_loop.record(What::SentAgain { id: attempt.id.clone() });
                 (attempt.kept, attempt.again, attempt.up, attempt.sent) = (false, true, false, None);
                 self.tries.insert(conn, attempt);
-                return hub.after(DIAL, Due::DialLate(conn));
+                return event_loop.after(DIAL, Due::DialLate(conn));
             }
         }
         let on = if attempt.kept { "kept" } else { "new" };
-        hub.record(What::Lost { id: attempt.id, how: format!("{how:?} on a {on} connection") });
-        self.retry_or_over(hub, intent, try_no, false, None);
+        event_loop.record(What::Lost { id: attempt.id, how: format!("{how:?} on a {on} connection") });
+        self.retry_or_over(event_loop, intent, try_no, false, None);
     }
 
     /// Opens some more connections, each of which asks once.
-    fn open_idle(&mut self, hub: &mut Loop) {
+    fn open_idle(&mut self, event_loop: &mut Loop) {
         const AT_ONCE: usize = 40;
-        let most = self.spec.callers.idle.min(self.asked + AT_ONCE);
+        let most = self.spec.behavior.idle.min(self.asked + AT_ONCE);
         let class = self.spec.classes.iter().find(|class| class.effect == Effect::Reissuable).cloned();
         let Some(class) = class else { return };
         while self.asked < most {
             let target = self.asked % self.targets.len(); // those that come later have no idle ones
             let headers = [("Request-Id", format!("{:x}-idle-{}", self.spec.seed, self.asked))];
             self.asked += 1;
-            let Ok(conn) = hub.dial(self.targets[target].address) else {
+            let Ok(conn) = event_loop.dial(self.targets[target].address) else {
                 self.refused += 1;
                 continue;
             };
-            hub.write(conn, &message::write_request("GET", &format!("/{}", class.name), "a", &headers, b""));
+            event_loop.write(
+                conn,
+                &http_message::encode_request("GET", &format!("/{}", class.name), "a", &headers, b""),
+            );
             self.silent.insert(conn);
         }
-        if self.asked < self.spec.callers.idle {
-            hub.after(IDLE_PACE.scaled(AT_ONCE as f64), Due::Idle);
+        if self.asked < self.spec.behavior.idle {
+            event_loop.after(IDLE_CONNECT_INTERVAL.scaled(AT_ONCE as f64), Due::Idle);
         }
     }
 
-    fn nonsense(&mut self, hub: &mut Loop, intent: usize) {
+    fn nonsense(&mut self, event_loop: &mut Loop, intent: usize) {
         let bytes: Vec<u8> = match intent % 6 {
             0 => (0..300).map(|_| self.rng.random()).collect(),
             1 => b"GET /".to_vec(),
@@ -378,72 +413,72 @@
         };
         self.open -= 1;
         self.first_due.remove(&intent);
-        let Some(target) = self.choose(intent, hub.now) else { return };
-        if let Ok(conn) = hub.dial(self.targets[target].address) {
-            hub.write(conn, &bytes);
-            hub.after(Micros::from_millis(1500), Due::Close(conn));
+        let Some(target) = self.choose(intent, event_loop.now) else { return };
+        if let Ok(conn) = event_loop.dial(self.targets[target].address) {
+            event_loop.write(conn, &bytes);
+            event_loop.after(Micros::from_millis(1500), Due::Close(conn));
         }
     }
 }
 
-impl Part for Clients {
+impl Component for Clients {
     type Due = Due;
     type Command = Command;
 
-    fn start(&mut self, hub: &mut Loop) -> io::Result<()> {
-        if self.spec.callers.idle > 0 {
-            hub.after(Micros::ZERO, Due::Idle);
+    fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
+        if self.spec.behavior.idle > 0 {
+            event_loop.after(Micros::ZERO, Due::Idle);
         }
-        hub.at(self.spec.start, Due::Next);
-        hub.at(self.spec.start + self.spec.lasts, Due::End);
-        hub.at(self.spec.start + self.spec.lasts + SETTLE, Due::End);
+        event_loop.at(self.spec.start, Due::Next);
+        event_loop.at(self.spec.start + self.spec.duration, Due::End);
+        event_loop.at(self.spec.start + self.spec.duration + SETTLE, Due::End);
         Ok(())
     }
 
     fn accepted(&mut self, _hub: &mut Loop, _on: ListenerId, _conn: ConnId) {}
 
-    fn up(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn up(&mut self, event_loop: &mut Loop, conn: ConnId) {
         // One taken from those kept was written to already, though it may not have been up yet.
         if let Some(attempt) = self.tries.get_mut(&conn).filter(|attempt| !attempt.up) {
             attempt.up = true;
-            self.send(hub, conn);
+            self.send(event_loop, conn);
         }
     }
 
-    fn written(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn written(&mut self, event_loop: &mut Loop, conn: ConnId) {
         if self.tries.get(&conn).is_some_and(|attempt| !self.spec.intents[attempt.intent].slow_send) {
-            self.sent(hub, conn);
+            self.sent(event_loop, conn);
         }
     }
 
-    fn read(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn read(&mut self, event_loop: &mut Loop, conn: ConnId) {
         if self.idle.contains_key(&conn) {
-            let bytes = hub.input(conn).len();
-            hub.take(conn, bytes);
-            return hub.record(What::Unasked { id: String::new(), bytes });
+            let bytes = event_loop.input(conn).len();
+            event_loop.take(conn, bytes);
+            return event_loop.record(What::Unasked { id: String::new(), bytes });
         }
         if !self.tries.contains_key(&conn) {
-            let bytes = hub.input(conn).len();
-            hub.take(conn, bytes);
+            let bytes = event_loop.input(conn).len();
+            event_loop.take(conn, bytes);
             return;
         }
-        match message::answer(hub.input(conn)) {
+        match http_message::parse_response(event_loop.input(conn)) {
             Ok(None) => {}
-            Ok(Some(answer)) if answer.status < 200 => drop(hub.take(conn, answer.length)),
-            Ok(Some(answer)) => self.answered(hub, conn, answer),
+            Ok(Some(answer)) if answer.status < 200 => drop(event_loop.take(conn, answer.length)),
+            Ok(Some(answer)) => self.answered(event_loop, conn, answer),
             Err(e) => {
-                hub.close(conn);
+                event_loop.close(conn);
                 if let Some(attempt) = self.tries.remove(&conn) {
-                    hub.record(What::Lost { id: attempt.id, how: format!("no HTTP: {e}") });
-                    self.retry_or_over(hub, attempt.intent, attempt.try_no, false, None);
+                    event_loop.record(What::Lost { id: attempt.id, how: format!("no HTTP: {e}") });
+                    self.retry_or_over(event_loop, attempt.intent, attempt.try_no, false, None);
                 }
             }
         }
     }
 
-    fn gone(&mut self, hub: &mut Loop, conn: ConnId, how: Gone) {
-        let any = !hub.input(conn).is_empty();
-        hub.close(conn);
+    fn gone(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd) {
+        let any = !event_loop.input(conn).is_empty();
+        event_loop.close(conn);
         if self.silent.remove(&conn) {
             self.refused += 1;
         }
@@ -452,75 +487,76 @@
                 target.kept.retain(|kept| *kept != conn);
             }
         }
-        self.lost(hub, conn, how, any);
+        self.lost(event_loop, conn, how, any);
     }
 
-    fn due(&mut self, hub: &mut Loop, due: Due) {
+    fn due(&mut self, event_loop: &mut Loop, due: Due) {
         match due {
-            Due::Idle => self.open_idle(hub),
-            Due::Next if self.spec.closed > 0 => {
-                for _ in 0..self.spec.closed {
-                    self.next_closed(hub);
+            Due::Idle => self.open_idle(event_loop),
+            Due::Next if self.spec.closed_loop_clients > 0 => {
+                for _ in 0..self.spec.closed_loop_clients {
+                    self.next_closed(event_loop);
                 }
             }
             Due::Next => {
                 while self.next < self.spec.intents.len() {
                     let at = self.spec.start + self.spec.intents[self.next].at;
-                    if at > hub.now {
-                        return hub.at(at, Due::Next);
+                    if at > event_loop.now {
+                        return event_loop.at(at, Due::Next);
                     }
                     self.next += 1;
-                    self.begin(hub, self.next - 1, at);
+                    self.begin(event_loop, self.next - 1, at);
                 }
             }
-            Due::Retry(intent, try_no) => self.attempt(hub, intent, try_no),
+            Due::Retry(intent, try_no) => self.attempt(event_loop, intent, try_no),
             Due::DialLate(conn) => {
                 if self.tries.get(&conn).is_some_and(|attempt| !attempt.up) {
-                    hub.close(conn);
-                    self.lost(hub, conn, Gone::Refused, false);
+                    event_loop.close(conn);
+                    self.lost(event_loop, conn, ConnectionEnd::Refused, false);
                 }
             }
             Due::Leave(conn, number) => {
                 let Some(attempt) = self.tries.get(&conn).filter(|attempt| attempt.number == number) else {
                     return;
                 };
-                let (intent, try_no, own) = (attempt.intent, attempt.try_no, hub.now < attempt.cut_off);
-                hub.record(What::GaveUp { id: attempt.id.clone(), own });
+                let (intent, try_no, own) =
+                    (attempt.intent, attempt.try_no, event_loop.now < attempt.cut_off);
+                event_loop.record(What::GaveUp { id: attempt.id.clone(), own });
                 self.tries.remove(&conn);
-                hub.close(conn);
+                event_loop.close(conn);
                 if own {
-                    self.over(hub, intent, try_no, false);
+                    self.over(event_loop, intent, try_no, false);
                 } else {
-                    self.retry_or_over(hub, intent, try_no, false, None);
+                    self.retry_or_over(event_loop, intent, try_no, false, None);
                 }
             }
             Due::Piece(conn, bytes) => {
                 if self.tries.contains_key(&conn) {
-                    self.piece(hub, conn, bytes);
+                    self.piece(event_loop, conn, bytes);
                 }
             }
-            Due::ReadOn(conn) => hub.pause(conn, false),
+            Due::ReadOn(conn) => event_loop.pause(conn, false),
             Due::Close(conn) => {
                 if !self.tries.contains_key(&conn) {
                     self.idle.remove(&conn);
-                    hub.close(conn);
+                    event_loop.close(conn);
                 }
             }
-            Due::End if self.ended => hub.halt(),
+            Due::End if self.ended => event_loop.halt(),
             Due::End => {
                 self.ended = true;
-                self.end_if_done(hub);
+                self.end_if_done(event_loop);
             }
         }
     }
 
-    fn stop(&mut self, hub: &mut Loop) {
-        if self.spec.callers.idle > 0 {
-            hub.record(What::Idle { open: self.silent.len(), refused: self.refused });
+    fn stop(&mut self, event_loop: &mut Loop) {
+        if self.spec.behavior.idle > 0 {
+            event_loop.record(What::Idle { open: self.silent.len(), refused: self.refused });
         }
     }
 
-    fn command(&mut self, hub: &mut Loop, command: Command) {
+    fn command(&mut self, event_loop: &mut Loop, command: Command) {
         match command {
             Command::Target { name, up, address } => {
                 if let Some(target) = self.targets.iter_mut().find(|target| target.name == name) {
@@ -529,7 +565,7 @@
                     let kept = if up { Vec::new() } else { std::mem::take(&mut target.kept) };
                     for conn in kept {
                         self.idle.remove(&conn);
-                        hub.close(conn);
+                        event_loop.close(conn);
                     }
                 }
             }
@@ -537,12 +573,12 @@
                 let all: Vec<_> = self.idle.keys().copied().collect();
                 for conn in all {
                     self.idle.remove(&conn);
-                    hub.close(conn);
+                    event_loop.close(conn);
                 }
                 for target in 0..self.targets.len() {
                     let lost = std::mem::take(&mut self.targets[target].kept).len();
                     for _ in 0..lost {
-                        if let Ok(conn) = hub.dial(self.targets[target].address) {
+                        if let Ok(conn) = event_loop.dial(self.targets[target].address) {
                             self.idle.insert(conn, target);
                             self.targets[target].kept.push(conn);
                         }
--- a/crates/lab/src/peer.rs
+++ b/crates/lab/src/component.rs
@@ -10,16 +10,17 @@
 use mio::Waker;
 use serde::{Deserialize, Serialize};
 
-use crate::hub::{self, Hub, Part};
+use crate::event_loop::{self, Component, EventLoop};
 use crate::record::Recorder;
-use crate::{agent, backend, balancer, clients, relay, ways};
+use crate::{agent, backend, balancer, clients, peer_network, relay};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Spec {
     Backend(Box<backend::Spec>),
     Agent(agent::Spec),
     Relay(relay::Spec),
-    Ways(ways::Spec),
+    #[serde(rename = "Ways")]
+    PeerNetwork(peer_network::Spec),
     Balancer(balancer::Spec),
     Clients(clients::Spec),
 }
@@ -29,7 +30,8 @@
     Backend(backend::Command),
     Agent(agent::Command),
     Relay(relay::Command),
-    Ways(ways::Command),
+    #[serde(rename = "Ways")]
+    PeerNetwork(peer_network::Command),
     Balancer(balancer::Command),
     Clients(clients::Command),
 }
@@ -47,7 +49,7 @@
             Spec::Backend(spec) => &spec.name,
             Spec::Agent(spec) => &spec.name,
             Spec::Relay(spec) => &spec.name,
-            Spec::Ways(spec) => &spec.name,
+            Spec::PeerNetwork(spec) => &spec.name,
             Spec::Balancer(spec) => &spec.name,
             Spec::Clients(spec) => &spec.name,
         }
@@ -71,13 +73,13 @@
         Spec::Backend(spec) => run!(backend::Backend::new(*spec), Backend),
         Spec::Agent(spec) => run!(agent::Agent::new(spec), Agent),
         Spec::Relay(spec) => run!(relay::Relay::new(spec), Relay),
-        Spec::Ways(spec) => run!(ways::Ways::new(spec), Ways),
+        Spec::PeerNetwork(spec) => run!(peer_network::PeerNetwork::new(spec), PeerNetwork),
         Spec::Balancer(spec) => run!(balancer::Balancer::new(spec), Balancer),
         Spec::Clients(spec) => run!(clients::Clients::new(spec), Clients),
     }
 }
 
-fn serve<P: Part>(
+fn serve<P: Component>(
     part: &mut P,
     recorder: Recorder,
     commands: Receiver<Command>,
@@ -86,8 +88,8 @@
 ) where
     P::Command: Send + 'static,
 {
-    let made = Hub::new(recorder).and_then(|hub| Ok((hub.waker()?, hub)));
-    let (waker, mut hub) = match made {
+    let made = EventLoop::new(recorder).and_then(|event_loop| Ok((event_loop.waker()?, event_loop)));
+    let (waker, mut event_loop) = match made {
         Ok(made) => made,
         Err(e) => return drop(started.send(Err(e))),
     };
@@ -106,23 +108,23 @@
     let ready = started.clone();
     // Guards against a waker that is gone, and its last call with it, before the loop has heard it.
     let _kept = waker.clone();
-    if let Err(e) = hub::run(part, &mut hub, &from, move || drop(ready.send(Ok(waker)))) {
+    if let Err(e) = event_loop::run(part, &mut event_loop, &from, move || drop(ready.send(Ok(waker)))) {
         let _ = started.send(Err(e));
     }
 }
 
-enum Place {
+enum Location {
     Thread { thread: JoinHandle<()>, commands: Option<Sender<Command>> },
     Process { child: Child, input: Option<ChildStdin> },
 }
 
-pub struct Peer {
+pub struct ComponentHandle {
     pub name: String,
-    place: Place,
+    location: Location,
 }
 
-impl Peer {
-    pub fn on_thread(spec: Spec, recorder: &Recorder) -> Result<Peer, String> {
+impl ComponentHandle {
+    pub fn spawn_thread(spec: Spec, recorder: &Recorder) -> Result<ComponentHandle, String> {
         let name = spec.name().to_string();
         let recorder = recorder.named(&name);
         let (commands, from) = channel();
@@ -131,14 +133,16 @@
         let thread =
             builder.spawn(move || host(spec, recorder, from, started)).map_err(|e| format!("{name}: {e}"))?;
         match heard.recv() {
-            Ok(Ok(_)) => Ok(Peer { name, place: Place::Thread { thread, commands: Some(commands) } }),
+            Ok(Ok(_)) => {
+                Ok(ComponentHandle { name, location: Location::Thread { thread, commands: Some(commands) } })
+            }
             Ok(Err(e)) => Err(format!("{name}: {e}")),
             Err(_) => Err(format!("{name}: ended before it had started")),
         }
     }
 
     /// In a process of its own: `program lab peer`, told all on its standard input.
-    pub fn apart(spec: Spec, program: &Path, records: &Path) -> Result<Peer, String> {
+    pub fn spawn_process(spec: Spec, program: &Path, records: &Path) -> Result<ComponentHandle, String> {
         let name = spec.name().to_string();
         let fail = |e: io::Error| format!("{name}: {}: {e}", program.display());
         let mut child = Program::new(program)
@@ -161,17 +165,17 @@
             let _ = child.wait();
             return Err(format!("{name}: {}", said.trim()));
         }
-        Ok(Peer { name, place: Place::Process { child, input } })
+        Ok(ComponentHandle { name, location: Location::Process { child, input } })
     }
 
-    pub fn tell(&mut self, command: Command) {
-        match &mut self.place {
-            Place::Thread { commands, .. } => {
+    pub fn send(&mut self, command: Command) {
+        match &mut self.location {
+            Location::Thread { commands, .. } => {
                 if let Some(commands) = commands {
                     let _ = commands.send(command);
                 }
             }
-            Place::Process { input, .. } => {
+            Location::Process { input, .. } => {
                 let Ok(mut line) = serde_json::to_vec(&command) else { return };
                 line.push(b'\n');
                 if let Some(input) = input {
@@ -183,57 +187,57 @@
 
     /// Its process, and where that is told things; nothing for a part on a thread.
     pub fn into_process(self) -> Option<(Child, ChildStdin)> {
-        match self.place {
-            Place::Process { child, input } => Some((child, input?)),
-            Place::Thread { .. } => None,
+        match self.location {
+            Location::Process { child, input } => Some((child, input?)),
+            Location::Thread { .. } => None,
         }
     }
 
     /// Ends its process outright; a thread can't be killed.
     pub fn kill(&mut self) -> bool {
-        match &mut self.place {
-            Place::Thread { .. } => false,
-            Place::Process { child, .. } => child.kill().and_then(|()| child.wait()).is_ok(),
+        match &mut self.location {
+            Location::Thread { .. } => false,
+            Location::Process { child, .. } => child.kill().and_then(|()| child.wait()).is_ok(),
         }
     }
 
     /// Whether it has ended by itself.
-    pub fn ended(&mut self) -> bool {
-        match &mut self.place {
-            Place::Thread { thread, .. } => thread.is_finished(),
-            Place::Process { child, .. } => !matches!(child.try_wait(), Ok(None)),
+    pub fn has_exited(&mut self) -> bool {
+        match &mut self.location {
+            Location::Thread { thread, .. } => thread.is_finished(),
+            Location::Process { child, .. } => !matches!(child.try_wait(), Ok(None)),
         }
     }
 
     /// Ends it, once it has written its last records; an error if it panicked.
     pub fn stop(mut self) -> Result<(), String> {
         let name = std::mem::take(&mut self.name);
-        match &mut self.place {
-            Place::Process { child, input } => {
+        match &mut self.location {
+            Location::Process { child, input } => {
                 drop(input.take());
                 let _ = child.wait();
                 Ok(())
             }
-            Place::Thread { commands, .. } => {
+            Location::Thread { commands, .. } => {
                 drop(commands.take());
-                match self.place {
-                    Place::Thread { thread, .. } => thread.join().map_err(|_| format!("{name} panicked")),
-                    Place::Process { .. } => Ok(()),
+                match self.location {
+                    Location::Thread { thread, .. } => thread.join().map_err(|_| format!("{name} panicked")),
+                    Location::Process { .. } => Ok(()),
                 }
             }
         }
     }
 }
 
-/// The program side of `Peer::apart`.
-pub fn peer_main() -> Result<(), String> {
+/// The program side of `ComponentHandle::apart`.
+pub fn process_main() -> Result<(), String> {
     // Guards against a part that is stopped when the lab is killed: it would not see its input's end.
     let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
     let mut lines = io::stdin().lock().lines();
     let first = lines.next().transpose().map_err(|e| e.to_string())?.ok_or("nothing on standard input")?;
     let order: Order = serde_json::from_str(&first).map_err(|e| format!("no order for a peer: {e}"))?;
     let recorder = Recorder::open(&order.records, order.spec.name()).map_err(|e| e.to_string())?;
-    let mut peer = match Peer::on_thread(order.spec, &recorder) {
+    let mut peer = match ComponentHandle::spawn_thread(order.spec, &recorder) {
         Ok(peer) => peer,
         Err(e) => {
             println!("{e}");
@@ -245,9 +249,9 @@
         match serde_json::from_str(&line) {
             Ok(command) => {
                 let leaves = matches!(command, Command::Balancer(balancer::Command::Leave));
-                peer.tell(command);
+                peer.send(command);
                 // It ends by itself once all is answered; the lab ends it if not.
-                while leaves && !peer.ended() {
+                while leaves && !peer.has_exited() {
                     std::thread::sleep(std::time::Duration::from_millis(2));
                 }
                 if leaves {
--- a/crates/lab/src/configuration.rs
+++ b/crates/lab/src/configuration.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use crate::agent::Entry;
+use crate::agent::BackendEntry;
 use crate::clock::Micros;
 use crate::deployment::zone;
 use crate::scenario::{Effect, Group, Scenario};
@@ -15,7 +15,7 @@
     pub listen: SocketAddr,
     pub agent: SocketAddr,
     pub seed: u64,
-    pub known: Option<Vec<Entry>>,
+    pub known: Option<Vec<BackendEntry>>,
     /// How many proxies there are, as the file has it.
     pub balancers: usize,
     /// Where they tell each other things, its own place among them.
--- a/crates/lab/src/hub.rs
+++ b/crates/lab/src/event_loop.rs
@@ -1,5 +1,5 @@
 //! One loop over sockets and timers, on which a part of the world runs. A part is told what happened and acts
-//! on its hub; it never waits.
+//! on its event_loop; it never waits.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -23,7 +23,7 @@
 const HEARD_AT_ONCE: usize = 256; // datagrams of one socket, before others have their turn
 const IN_PROGRESS: i32 = 115; // EINPROGRESS
 
-/// A connection of a hub; one that has ended is never named again by another.
+/// A connection of a event_loop; one that has ended is never named again by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnId(u64);
 
@@ -36,7 +36,7 @@
 
 /// How the other side ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum ConnectionEnd {
     /// It never came up.
     Refused,
     Reset,
@@ -44,25 +44,25 @@
     Closed,
 }
 
-pub trait Part {
+pub trait Component {
     type Due;
     type Command;
 
-    fn start(&mut self, hub: &mut Hub<Self::Due>) -> io::Result<()>;
-    fn accepted(&mut self, _hub: &mut Hub<Self::Due>, _on: ListenerId, _conn: ConnId) {}
-    fn up(&mut self, _hub: &mut Hub<Self::Due>, _conn: ConnId) {}
-    /// Bytes came; they wait in the hub.
-    fn read(&mut self, hub: &mut Hub<Self::Due>, conn: ConnId);
+    fn start(&mut self, event_loop: &mut EventLoop<Self::Due>) -> io::Result<()>;
+    fn accepted(&mut self, _hub: &mut EventLoop<Self::Due>, _on: ListenerId, _conn: ConnId) {}
+    fn up(&mut self, _hub: &mut EventLoop<Self::Due>, _conn: ConnId) {}
+    /// Bytes came; they wait in the event_loop.
+    fn read(&mut self, event_loop: &mut EventLoop<Self::Due>, conn: ConnId);
     /// All that was queued is written.
-    fn written(&mut self, _hub: &mut Hub<Self::Due>, _conn: ConnId) {}
+    fn written(&mut self, _hub: &mut EventLoop<Self::Due>, _conn: ConnId) {}
     /// The other side ended. Unless it was `Closed`, the connection is no more.
-    fn gone(&mut self, hub: &mut Hub<Self::Due>, conn: ConnId, how: Gone);
+    fn gone(&mut self, event_loop: &mut EventLoop<Self::Due>, conn: ConnId, how: ConnectionEnd);
     /// A datagram came.
-    fn heard(&mut self, _hub: &mut Hub<Self::Due>, _on: SocketId, _from: SocketAddr, _bytes: &[u8]) {}
-    fn due(&mut self, hub: &mut Hub<Self::Due>, due: Self::Due);
-    fn command(&mut self, hub: &mut Hub<Self::Due>, command: Self::Command);
+    fn heard(&mut self, _hub: &mut EventLoop<Self::Due>, _on: SocketId, _from: SocketAddr, _bytes: &[u8]) {}
+    fn due(&mut self, event_loop: &mut EventLoop<Self::Due>, due: Self::Due);
+    fn command(&mut self, event_loop: &mut EventLoop<Self::Due>, command: Self::Command);
     /// The run is over.
-    fn stop(&mut self, _hub: &mut Hub<Self::Due>) {}
+    fn stop(&mut self, _hub: &mut EventLoop<Self::Due>) {}
 }
 
 struct Conn {
@@ -77,7 +77,7 @@
     on: Option<ListenerId>,
 }
 
-pub struct Hub<D> {
+pub struct EventLoop<D> {
     poll: Poll,
     conns: Slab<Conn>,
     listeners: Slab<(TcpListener, bool)>,
@@ -94,10 +94,10 @@
     stopping: bool,
 }
 
-impl<D> Hub<D> {
-    pub fn new(recorder: Recorder) -> io::Result<Hub<D>> {
+impl<D> EventLoop<D> {
+    pub fn new(recorder: Recorder) -> io::Result<EventLoop<D>> {
         let late = Histogram::new_with_bounds(1, 60_000_000, 2).map_err(io::Error::other)?;
-        Ok(Hub {
+        Ok(EventLoop {
             poll: Poll::new()?,
             conns: Slab::new(),
             listeners: Slab::new(),
@@ -323,83 +323,83 @@
 }
 
 /// Runs a part until it halts or the other end of its commands is gone.
-pub fn run<P: Part>(
+pub fn run<P: Component>(
     part: &mut P,
-    hub: &mut Hub<P::Due>,
+    event_loop: &mut EventLoop<P::Due>,
     commands: &Receiver<P::Command>,
     ready: impl FnOnce(),
 ) -> io::Result<()> {
-    part.start(hub)?;
+    part.start(event_loop)?;
     ready();
     let mut events = Events::with_capacity(1024);
-    while !hub.stopping {
-        let wait = match hub.timers.first_key_value() {
-            _ if hub.waits() => Some(Duration::ZERO),
+    while !event_loop.stopping {
+        let wait = match event_loop.timers.first_key_value() {
+            _ if event_loop.waits() => Some(Duration::ZERO),
             Some(((at, _), _)) => Some(at.since(At::now()).duration()),
             None => None,
         };
-        match hub.poll.poll(&mut events, wait) {
+        match event_loop.poll.poll(&mut events, wait) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
-        hub.now = At::now();
+        event_loop.now = At::now();
         for event in events.iter() {
             match event.token().0 {
                 0 => {}
-                n if n % 3 == 1 => accept(part, hub, ListenerId(n / 3)),
-                n if n % 3 == 0 => hear(part, hub, SocketId(n / 3 - 1)),
+                n if n % 3 == 1 => accept(part, event_loop, ListenerId(n / 3)),
+                n if n % 3 == 0 => hear(part, event_loop, SocketId(n / 3 - 1)),
                 n => {
-                    if let Some(id) = hub.conns.get(n / 3).map(|conn| ConnId(conn.id)) {
-                        serve(part, hub, id);
+                    if let Some(id) = event_loop.conns.get(n / 3).map(|conn| ConnId(conn.id)) {
+                        serve(part, event_loop, id);
                     }
                 }
             }
         }
-        for id in std::mem::take(&mut hub.again) {
-            serve(part, hub, id);
+        for id in std::mem::take(&mut event_loop.again) {
+            serve(part, event_loop, id);
         }
-        for id in std::mem::take(&mut hub.accept_again) {
-            accept(part, hub, id);
+        for id in std::mem::take(&mut event_loop.accept_again) {
+            accept(part, event_loop, id);
         }
-        for id in std::mem::take(&mut hub.hear_again) {
-            hear(part, hub, id);
+        for id in std::mem::take(&mut event_loop.hear_again) {
+            hear(part, event_loop, id);
         }
         loop {
             match commands.try_recv() {
-                Ok(command) => part.command(hub, command),
+                Ok(command) => part.command(event_loop, command),
                 Err(TryRecvError::Empty) => break,
                 Err(TryRecvError::Disconnected) => {
-                    hub.stopping = true;
+                    event_loop.stopping = true;
                     break;
                 }
             }
         }
-        hub.now = At::now();
+        event_loop.now = At::now();
         // Only what was set before this turn: guards against a timer that sets itself again at once.
-        let before = hub.count;
-        while let Some(first) = hub.timers.first_entry() {
+        let before = event_loop.count;
+        while let Some(first) = event_loop.timers.first_entry() {
             let (at, number) = *first.key();
-            if at > hub.now || number > before {
+            if at > event_loop.now || number > before {
                 break;
             }
             let due = first.remove();
-            let _ = hub.late.record((hub.now.since(at).0 as u64).max(1));
-            part.due(hub, due);
+            let _ = event_loop.late.record((event_loop.now.since(at).0 as u64).max(1));
+            part.due(event_loop, due);
         }
     }
-    hub.now = At::now();
-    part.stop(hub);
-    let (Micros(p99_us), Micros(max_us)) = hub.lateness();
-    hub.record(What::Late { p99_us, max_us });
+    event_loop.now = At::now();
+    part.stop(event_loop);
+    let (Micros(p99_us), Micros(max_us)) = event_loop.lateness();
+    event_loop.record(What::Late { p99_us, max_us });
     Ok(())
 }
 
-fn accept<P: Part>(part: &mut P, hub: &mut Hub<P::Due>, id: ListenerId) {
-    while let Some((listener, true)) = hub.listeners.get(id.0) {
+fn accept<P: Component>(part: &mut P, event_loop: &mut EventLoop<P::Due>, id: ListenerId) {
+    while let Some((listener, true)) = event_loop.listeners.get(id.0) {
         match listener.accept() {
             Ok((stream, _)) => {
-                if let Ok(conn) = hub.add(stream, true, Some(id)) {
-                    part.accepted(hub, id, conn);
+                if let Ok(conn) = event_loop.add(stream, true, Some(id)) {
+                    part.accepted(event_loop, id, conn);
                 }
             }
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
@@ -408,39 +408,39 @@
     }
 }
 
-fn hear<P: Part>(part: &mut P, hub: &mut Hub<P::Due>, id: SocketId) {
+fn hear<P: Component>(part: &mut P, event_loop: &mut EventLoop<P::Due>, id: SocketId) {
     let mut piece = [0; PIECE];
     for _ in 0..HEARD_AT_ONCE {
-        let Some(socket) = hub.sockets.get(id.0) else { return };
+        let Some(socket) = event_loop.sockets.get(id.0) else { return };
         match socket.recv_from(&mut piece) {
-            Ok((length, from)) => part.heard(hub, id, from, &piece[..length]),
+            Ok((length, from)) => part.heard(event_loop, id, from, &piece[..length]),
             Err(e) if e.kind() == ErrorKind::WouldBlock => return,
             // An earlier datagram found nobody: that is told here.
             Err(_) => {}
         }
     }
-    hub.hear_again.push(id);
+    event_loop.hear_again.push(id);
 }
 
-fn serve<P: Part>(part: &mut P, hub: &mut Hub<P::Due>, id: ConnId) {
-    let Some(conn) = hub.conn(id) else { return };
+fn serve<P: Component>(part: &mut P, event_loop: &mut EventLoop<P::Due>, id: ConnId) {
+    let Some(conn) = event_loop.conn(id) else { return };
     if !conn.up {
         let failed = conn.stream.take_error().ok().flatten().is_some();
         match conn.stream.peer_addr() {
             _ if failed => {
-                hub.close(id);
-                return part.gone(hub, id, Gone::Refused);
+                event_loop.close(id);
+                return part.gone(event_loop, id, ConnectionEnd::Refused);
             }
             Ok(_) => conn.up = true,
             Err(e) if e.kind() == ErrorKind::NotConnected => return,
             Err(_) => {
-                hub.close(id);
-                return part.gone(hub, id, Gone::Refused);
+                event_loop.close(id);
+                return part.gone(event_loop, id, ConnectionEnd::Refused);
             }
         }
-        part.up(hub, id);
+        part.up(event_loop, id);
     }
-    let Some(conn) = hub.conn(id) else { return };
+    let Some(conn) = event_loop.conn(id) else { return };
     let had = conn.output.len() > conn.at;
     let flushed = flush(conn);
     let (mut got, mut failed, mut ended, mut more) = (false, flushed.is_err(), false, false);
@@ -466,20 +466,20 @@
         }
     }
     if more {
-        hub.again.push(id);
+        event_loop.again.push(id);
     }
     if had && matches!(flushed, Ok(true)) {
-        part.written(hub, id);
+        part.written(event_loop, id);
     }
     if got {
-        part.read(hub, id);
+        part.read(event_loop, id);
     }
     if failed {
-        if hub.is_open(id) {
-            hub.close(id);
-            part.gone(hub, id, Gone::Reset);
+        if event_loop.is_open(id) {
+            event_loop.close(id);
+            part.gone(event_loop, id, ConnectionEnd::Reset);
         }
-    } else if ended && hub.is_open(id) {
-        part.gone(hub, id, Gone::Closed);
+    } else if ended && event_loop.is_open(id) {
+        part.gone(event_loop, id, ConnectionEnd::Closed);
     }
 }
--- a/crates/lab/src/message.rs
+++ b/crates/lab/src/http_message.rs
@@ -62,7 +62,7 @@
     Ok(Some(message))
 }
 
-pub fn request(bytes: &[u8]) -> Result<Option<Message>, String> {
+pub fn parse_request(bytes: &[u8]) -> Result<Option<Message>, String> {
     let mut headers = [EMPTY_HEADER; 64];
     let mut parsed = httparse::Request::new(&mut headers);
     match parsed.parse(bytes) {
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn answer(bytes: &[u8]) -> Result<Option<Message>, String> {
+pub fn parse_response(bytes: &[u8]) -> Result<Option<Message>, String> {
     let mut headers = [EMPTY_HEADER; 64];
     let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(bytes) {
@@ -91,7 +91,7 @@
     }
 }
 
-pub fn write_request(
+pub fn encode_request(
     method: &str,
     path: &str,
     host: &str,
@@ -110,7 +110,7 @@
     out
 }
 
-pub fn write_answer(status: u16, headers: &[(&str, String)], body: &[u8]) -> Vec<u8> {
+pub fn encode_response(status: u16, headers: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         404 => "Not Found",
--- a/crates/lab/src/ways.rs
+++ b/crates/lab/src/peer_network.rs
@@ -11,10 +11,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{At, Micros};
-use crate::hub::{ConnId, Gone, Hub, ListenerId, Part, SocketId};
-use crate::pipe::{Conduct, Pipes, Release, Way};
+use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId, SocketId};
 use crate::record::What;
 use crate::scenario::{FaultKind, Fleet};
+use crate::stream_forwarder::{Conduct, Pipes, Release, Way};
 
 /// From one proxy to another, by their numbers.
 pub type Pair = (usize, usize);
@@ -37,24 +37,28 @@
 
 /// Where a proxy listens, and where others are told that it does.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Face {
+pub struct ProxyEndpoint {
     pub proxy: String,
-    pub own: SocketAddr,
-    pub face: SocketAddr,
+    #[serde(rename = "own")]
+    pub address: SocketAddr,
+    #[serde(rename = "face")]
+    pub advertised: SocketAddr,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub name: String,
-    pub faces: Vec<Face>,
+    #[serde(rename = "faces")]
+    pub endpoints: Vec<ProxyEndpoint>,
     pub fleet: Fleet,
     /// An address that belongs to no proxy, from which floods come.
-    pub nobody: SocketAddr,
+    #[serde(rename = "nobody")]
+    pub unknown_sender: SocketAddr,
     pub seed: u64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct ActiveFault {
     pub kind: FaultKind,
     pub pairs: Vec<Pair>,
     pub amount: Option<f64>,
@@ -64,8 +68,13 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    Fault { number: u32, trouble: Trouble },
-    Mend { number: u32 },
+    Fault {
+        number: u32,
+        #[serde(rename = "trouble")]
+        fault: ActiveFault,
+    },
+    #[serde(rename = "Mend")]
+    ClearFault { number: u32 },
 }
 
 #[derive(Debug)]
@@ -84,7 +93,7 @@
 
 /// A fault that is on, with its pairs at hand.
 struct On {
-    trouble: Trouble,
+    fault: ActiveFault,
     pairs: BTreeSet<Pair>,
 }
 
@@ -95,7 +104,7 @@
     lost: u64,
 }
 
-pub struct Ways {
+pub struct PeerNetwork {
     spec: Spec,
     sockets: Vec<SocketId>,
     listeners: Vec<ListenerId>,
@@ -109,42 +118,41 @@
     rng: ChaCha8Rng,
 }
 
-type Loop = Hub<Due>;
+type Loop = EventLoop<Due>;
 
-impl Ways {
-    pub fn new(spec: Spec) -> Ways {
+impl PeerNetwork {
+    pub fn new(spec: Spec) -> PeerNetwork {
         let rng = ChaCha8Rng::seed_from_u64(spec.seed ^ 0x3a75);
-        let counts = vec![Count::default(); spec.faces.len()];
+        let counts = vec![Count::default(); spec.endpoints.len()];
         let (sockets, listeners, nobody, faults, strangers, kept) = Default::default();
         let pipes = Pipes::default();
-        Ways { spec, sockets, listeners, nobody, faults, counts, strangers, kept, pipes, rng }
+        PeerNetwork { spec, sockets, listeners, nobody, faults, counts, strangers, kept, pipes, rng }
     }
 
-    fn on(&self, pair: Pair) -> impl Iterator<Item = &Trouble> {
-        self.faults.values().filter(move |on| on.pairs.contains(&pair)).map(|on| &on.trouble)
+    fn on(&self, pair: Pair) -> impl Iterator<Item = &ActiveFault> {
+        self.faults.values().filter(move |on| on.pairs.contains(&pair)).map(|on| &on.fault)
     }
 
     fn parted(&self, pair: Pair) -> bool {
-        self.on(pair).any(|trouble| matches!(trouble.kind, FaultKind::Partition | FaultKind::Bridge))
+        self.on(pair).any(|fault| matches!(fault.kind, FaultKind::Partition | FaultKind::Bridge))
     }
 
     /// All troubles of a kind on a pair that hit this time, with their amounts.
     fn hits(&mut self, pair: Pair, kind: FaultKind, amount: f64) -> Vec<f64> {
-        let found: Vec<_> = self.on(pair).filter(|trouble| trouble.kind == kind).cloned().collect();
+        let found: Vec<_> = self.on(pair).filter(|fault| fault.kind == kind).cloned().collect();
         let rng = &mut self.rng;
-        let hit = found.into_iter().filter(|trouble| rng.random::<f64>() < trouble.chance.unwrap_or(1.0));
-        hit.map(|trouble| trouble.amount.unwrap_or(amount)).collect()
+        let hit = found.into_iter().filter(|fault| rng.random::<f64>() < fault.chance.unwrap_or(1.0));
+        hit.map(|fault| fault.amount.unwrap_or(amount)).collect()
     }
 
     /// How long what goes this way now takes.
     fn delay(&mut self, pair: Pair) -> Micros {
         let fleet = self.spec.fleet;
-        let found: Vec<_> =
-            self.on(pair).filter(|trouble| trouble.kind == FaultKind::Delay).cloned().collect();
+        let found: Vec<_> = self.on(pair).filter(|fault| fault.kind == FaultKind::Delay).cloned().collect();
         let mut delay = fleet.delay + fleet.jitter.scaled(self.rng.random::<f64>());
-        for trouble in found {
-            let jitter = trouble.jitter.scaled(self.rng.random::<f64>());
-            delay = delay + Micros::from_ms(trouble.amount.unwrap_or(DELAY_MS)) + jitter;
+        for fault in found {
+            let jitter = fault.jitter.scaled(self.rng.random::<f64>());
+            delay = delay + Micros::from_ms(fault.amount.unwrap_or(DELAY_MS)) + jitter;
         }
         delay
     }
@@ -154,14 +162,14 @@
         self.rng.random::<f64>() < always || !self.hits(pair, FaultKind::Loss, 1.0).is_empty()
     }
 
-    fn datagram(&mut self, hub: &mut Loop, pair: Pair, bytes: &[u8]) {
+    fn datagram(&mut self, event_loop: &mut Loop, pair: Pair, bytes: &[u8]) {
         let count = &mut self.counts[pair.0];
         (count.sent, count.bytes) = (count.sent + 1, count.bytes + bytes.len() as u64);
         if self.parted(pair) || self.lost(pair) {
             self.counts[pair.0].lost += 1;
             return;
         }
-        self.keep(hub.now, pair, bytes);
+        self.keep(event_loop.now, pair, bytes);
         let mut bytes = bytes.to_vec();
         if !bytes.is_empty() && !self.hits(pair, FaultKind::Corrupt, 1.0).is_empty() {
             for _ in 0..self.rng.random_range(1..=4) {
@@ -171,27 +179,27 @@
         }
         for _ in self.hits(pair, FaultKind::Duplicate, 1.0) {
             let delay = self.delay(pair);
-            self.pass_after(hub, delay, pair, bytes.clone());
+            self.pass_after(event_loop, delay, pair, bytes.clone());
         }
         for age in self.hits(pair, FaultKind::Replay, REPLAY_MS) {
-            let until = hub.now - Micros::from_ms(age);
+            let until = event_loop.now - Micros::from_ms(age);
             let kept = self.kept.get(&pair).into_iter().flatten().filter(|(at, _)| *at <= until);
             let old: Vec<Vec<u8>> = kept.map(|(_, bytes)| bytes.clone()).collect();
             if !old.is_empty() {
                 let place = self.rng.random_range(0..old.len());
-                self.pass_after(hub, Micros::ZERO, pair, old[place].clone());
+                self.pass_after(event_loop, Micros::ZERO, pair, old[place].clone());
             }
         }
         let mut delay = self.delay(pair);
         for later in self.hits(pair, FaultKind::Reorder, REORDER_MS) {
             delay = delay + Micros::from_ms(later).scaled(self.rng.random::<f64>());
         }
-        self.pass_after(hub, delay, pair, bytes);
+        self.pass_after(event_loop, delay, pair, bytes);
     }
 
     /// Remembers what went, where it is to be sent again later.
     fn keep(&mut self, now: At, pair: Pair, bytes: &[u8]) {
-        let wanted = |on: &On| matches!(on.trouble.kind, FaultKind::Replay | FaultKind::Flood);
+        let wanted = |on: &On| matches!(on.fault.kind, FaultKind::Replay | FaultKind::Flood);
         if !self.faults.values().any(wanted) {
             return;
         }
@@ -202,22 +210,22 @@
         }
     }
 
-    fn pass_after(&mut self, hub: &mut Loop, delay: Micros, pair: Pair, bytes: Vec<u8>) {
+    fn pass_after(&mut self, event_loop: &mut Loop, delay: Micros, pair: Pair, bytes: Vec<u8>) {
         if delay == Micros::ZERO {
-            self.pass(hub, pair, &bytes);
+            self.pass(event_loop, pair, &bytes);
         } else {
-            hub.after(delay, Due::Pass(pair, bytes));
+            event_loop.after(delay, Due::Pass(pair, bytes));
         }
     }
 
-    fn pass(&mut self, hub: &mut Loop, (from, to): Pair, bytes: &[u8]) {
-        hub.send(self.sockets[from], self.spec.faces[to].own, bytes);
+    fn pass(&mut self, event_loop: &mut Loop, (from, to): Pair, bytes: &[u8]) {
+        event_loop.send(self.sockets[from], self.spec.endpoints[to].address, bytes);
     }
 
     /// Noise, and what others have said, from an address that is nobody's.
-    fn flood(&mut self, hub: &mut Loop, number: u32, done: u64) {
+    fn flood(&mut self, event_loop: &mut Loop, number: u32, done: u64) {
         let Some(on) = self.faults.get(&number) else { return };
-        let per_s = on.trouble.amount.unwrap_or(FLOOD_PER_S);
+        let per_s = on.fault.amount.unwrap_or(FLOOD_PER_S);
         let targets: Vec<usize> =
             on.pairs.iter().map(|(_, to)| *to).collect::<BTreeSet<_>>().into_iter().collect();
         let Some(nobody) = self.nobody.filter(|_| !targets.is_empty()) else { return };
@@ -229,16 +237,16 @@
                 (0, 1..) => forged[self.rng.random_range(0..forged.len())].clone(),
                 _ => (0..self.rng.random_range(0..1400)).map(|_| self.rng.random()).collect(),
             };
-            hub.send(nobody, self.spec.faces[targets[n as usize % targets.len()]].own, &bytes);
+            event_loop.send(nobody, self.spec.endpoints[targets[n as usize % targets.len()]].address, &bytes);
         }
-        hub.after(FLOOD_EVERY, Due::Flood(number, done + due));
+        event_loop.after(FLOOD_EVERY, Due::Flood(number, done + due));
     }
 
-    fn count(&mut self, hub: &mut Loop) {
-        for (face, count) in self.spec.faces.iter().zip(&mut self.counts) {
+    fn count(&mut self, event_loop: &mut Loop) {
+        for (endpoint, count) in self.spec.endpoints.iter().zip(&mut self.counts) {
             let Count { sent, bytes, lost } = std::mem::take(count);
             if sent > 0 {
-                hub.record(What::Talk { proxy: face.proxy.clone(), sent, bytes, lost });
+                event_loop.record(What::Talk { proxy: endpoint.proxy.clone(), sent, bytes, lost });
             }
         }
     }
@@ -253,126 +261,127 @@
         Conduct { delay, rate: 0, buffer: BUFFER, way }
     }
 
-    fn release(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn release(&mut self, event_loop: &mut Loop, conn: ConnId) {
         let Some(pair) = self.pipes.tag(conn) else { return };
         let conduct = self.conduct(pair);
-        self.pipes.release(hub, conn, conduct);
+        self.pipes.release(event_loop, conn, conduct);
     }
 
-    fn take(&mut self, hub: &mut Loop, conn: ConnId, end: bool) {
+    fn take(&mut self, event_loop: &mut Loop, conn: ConnId, end: bool) {
         let Some(pair) = self.pipes.tag(conn) else { return };
         let count = &mut self.counts[pair.0];
-        count.bytes += hub.input(conn).len() as u64;
+        count.bytes += event_loop.input(conn).len() as u64;
         let conduct = self.conduct(pair);
-        self.pipes.take(hub, conn, end, conduct);
+        self.pipes.take(event_loop, conn, end, conduct);
     }
 
     /// Lets out what waited for a way to be open again.
-    fn reopen(&mut self, hub: &mut Loop) {
+    fn reopen(&mut self, event_loop: &mut Loop) {
         for conn in self.pipes.conns() {
-            self.release(hub, conn);
+            self.release(event_loop, conn);
         }
     }
 }
 
-impl Part for Ways {
+impl Component for PeerNetwork {
     type Due = Due;
     type Command = Command;
 
-    fn start(&mut self, hub: &mut Loop) -> io::Result<()> {
-        for face in &self.spec.faces {
-            self.sockets.push(hub.bind(face.face)?);
-            self.listeners.push(hub.listen(face.face)?);
+    fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
+        for endpoint in &self.spec.endpoints {
+            self.sockets.push(event_loop.bind(endpoint.advertised)?);
+            self.listeners.push(event_loop.listen(endpoint.advertised)?);
         }
-        self.nobody = Some(hub.bind(self.spec.nobody)?);
-        hub.after(TICK, Due::Tick(1));
+        self.nobody = Some(event_loop.bind(self.spec.unknown_sender)?);
+        event_loop.after(TICK, Due::Tick(1));
         Ok(())
     }
 
-    fn heard(&mut self, hub: &mut Loop, on: SocketId, from: SocketAddr, bytes: &[u8]) {
+    fn heard(&mut self, event_loop: &mut Loop, on: SocketId, from: SocketAddr, bytes: &[u8]) {
         let to = self.sockets.iter().position(|socket| *socket == on);
-        let from = self.spec.faces.iter().position(|face| face.own == from);
+        let from = self.spec.endpoints.iter().position(|endpoint| endpoint.address == from);
         match (from, to) {
-            (Some(from), Some(to)) if bytes.len() <= LONGEST => self.datagram(hub, (from, to), bytes),
+            (Some(from), Some(to)) if bytes.len() <= LONGEST => self.datagram(event_loop, (from, to), bytes),
             _ => self.strangers += 1,
         }
     }
 
-    fn accepted(&mut self, hub: &mut Loop, on: ListenerId, conn: ConnId) {
+    fn accepted(&mut self, event_loop: &mut Loop, on: ListenerId, conn: ConnId) {
         let to = self.listeners.iter().position(|listener| *listener == on);
-        let from = hub.peer_of(conn).map(|from| from.ip());
-        let from = self.spec.faces.iter().position(|face| Some(face.own.ip()) == from);
+        let from = event_loop.peer_of(conn).map(|from| from.ip());
+        let from = self.spec.endpoints.iter().position(|endpoint| Some(endpoint.address.ip()) == from);
         let (Some(from), Some(to)) = (from, to) else {
             self.strangers += 1;
-            return hub.reset(conn);
+            return event_loop.reset(conn);
         };
-        let dialled = hub.dial_from(self.spec.faces[from].face.ip(), self.spec.faces[to].own);
+        let dialled =
+            event_loop.dial_from(self.spec.endpoints[from].advertised.ip(), self.spec.endpoints[to].address);
         match dialled {
             Ok(other) => self.pipes.join((conn, (from, to)), (other, (to, from))),
-            Err(_) => hub.reset(conn),
+            Err(_) => event_loop.reset(conn),
         }
     }
 
-    fn read(&mut self, hub: &mut Loop, conn: ConnId) {
-        self.take(hub, conn, false);
+    fn read(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        self.take(event_loop, conn, false);
     }
 
-    fn written(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn written(&mut self, event_loop: &mut Loop, conn: ConnId) {
         if let Some(other) = self.pipes.other(conn) {
-            self.release(hub, other);
+            self.release(event_loop, other);
         }
     }
 
-    fn gone(&mut self, hub: &mut Loop, conn: ConnId, how: Gone) {
+    fn gone(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd) {
         match how {
-            _ if self.pipes.tag(conn).is_none() => hub.close(conn),
-            Gone::Closed => self.take(hub, conn, true),
-            Gone::Reset | Gone::Refused => self.pipes.cut(hub, conn, true),
+            _ if self.pipes.tag(conn).is_none() => event_loop.close(conn),
+            ConnectionEnd::Closed => self.take(event_loop, conn, true),
+            ConnectionEnd::Reset | ConnectionEnd::Refused => self.pipes.cut(event_loop, conn, true),
         }
     }
 
-    fn due(&mut self, hub: &mut Loop, due: Due) {
+    fn due(&mut self, event_loop: &mut Loop, due: Due) {
         match due {
-            Due::Pass(pair, bytes) if !self.parted(pair) => self.pass(hub, pair, &bytes),
+            Due::Pass(pair, bytes) if !self.parted(pair) => self.pass(event_loop, pair, &bytes),
             Due::Pass(pair, _) => self.counts[pair.0].lost += 1,
-            Due::Release(Release(conn)) => self.release(hub, conn),
+            Due::Release(Release(conn)) => self.release(event_loop, conn),
             Due::Tick(n) => {
                 if n.is_multiple_of(COUNT_EVERY) {
-                    self.count(hub);
+                    self.count(event_loop);
                 }
-                hub.after(TICK, Due::Tick(n + 1));
+                event_loop.after(TICK, Due::Tick(n + 1));
             }
-            Due::Flood(number, done) => self.flood(hub, number, done),
+            Due::Flood(number, done) => self.flood(event_loop, number, done),
         }
     }
 
-    fn command(&mut self, hub: &mut Loop, command: Command) {
+    fn command(&mut self, event_loop: &mut Loop, command: Command) {
         match command {
-            Command::Fault { number, trouble } => {
-                let floods = trouble.kind == FaultKind::Flood;
-                let pairs = trouble.pairs.iter().copied().collect();
-                self.faults.insert(number, On { trouble, pairs });
+            Command::Fault { number, fault } => {
+                let floods = fault.kind == FaultKind::Flood;
+                let pairs = fault.pairs.iter().copied().collect();
+                self.faults.insert(number, On { fault, pairs });
                 if floods {
-                    self.flood(hub, number, 0);
+                    self.flood(event_loop, number, 0);
                 }
             }
-            Command::Mend { number } => {
+            Command::ClearFault { number } => {
                 self.faults.remove(&number);
-                self.reopen(hub);
+                self.reopen(event_loop);
             }
         }
     }
 
-    fn stop(&mut self, hub: &mut Loop) {
-        self.count(hub);
-        let (late, _) = hub.lateness();
+    fn stop(&mut self, event_loop: &mut Loop) {
+        self.count(event_loop);
+        let (late, _) = event_loop.lateness();
         if late > TOO_LATE {
             let text = format!("the ways between proxies ran {:.1} ms late (p99) themselves", late.ms());
-            hub.record(What::Void { text });
+            event_loop.record(What::Void { text });
         }
         if self.strangers > 0 {
             let text = format!("{} messages came between proxies from nobody that is known", self.strangers);
-            hub.record(What::Note { text });
+            event_loop.record(What::Note { text });
         }
     }
 }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -13,8 +13,8 @@
 
 use crate::balancer;
 use crate::clock::{At, Micros};
+use crate::component::Command;
 use crate::ledger::SLOW_TURN;
-use crate::peer::Command;
 use crate::record::What;
 use crate::scenario::Known;
 use crate::timeline::Claim;
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Micros;
-use crate::hub::{ConnId, Gone, Hub, ListenerId, Part};
-use crate::pipe::{Conduct, Pipes, Release, Way};
+use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::record::What;
 use crate::scenario::{Direction, FaultKind, Link};
+use crate::stream_forwarder::{Conduct, Pipes, Release, Way};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
@@ -24,9 +24,17 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    Fault { kind: FaultKind, amount: Option<f64>, direction: Option<Direction> },
-    Mend { kind: FaultKind },
-    To(SocketAddr),
+    Fault {
+        kind: FaultKind,
+        amount: Option<f64>,
+        direction: Option<Direction>,
+    },
+    #[serde(rename = "Mend")]
+    ClearFault {
+        kind: FaultKind,
+    },
+    #[serde(rename = "To")]
+    SetTarget(SocketAddr),
 }
 
 pub struct Relay {
@@ -38,7 +46,7 @@
     dark: [bool; 2],
 }
 
-type Loop = Hub<Release>;
+type Loop = EventLoop<Release>;
 
 impl Relay {
     pub fn new(spec: Spec) -> Relay {
@@ -57,83 +65,83 @@
         Conduct { delay, rate: link.rate, buffer: link.buffer, way }
     }
 
-    fn take(&mut self, hub: &mut Loop, conn: ConnId, end: bool) {
+    fn take(&mut self, event_loop: &mut Loop, conn: ConnId, end: bool) {
         let Some(direction) = self.pipes.tag(conn) else { return };
         let conduct = self.conduct(direction);
-        self.pipes.take(hub, conn, end, conduct);
+        self.pipes.take(event_loop, conn, end, conduct);
     }
 
-    fn release(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn release(&mut self, event_loop: &mut Loop, conn: ConnId) {
         let Some(direction) = self.pipes.tag(conn) else { return };
         let conduct = self.conduct(direction);
-        self.pipes.release(hub, conn, conduct);
+        self.pipes.release(event_loop, conn, conduct);
     }
 
-    fn cut_all(&mut self, hub: &mut Loop, reset: bool) {
-        self.pipes.conns().into_iter().for_each(|conn| self.pipes.cut(hub, conn, reset));
+    fn cut_all(&mut self, event_loop: &mut Loop, reset: bool) {
+        self.pipes.conns().into_iter().for_each(|conn| self.pipes.cut(event_loop, conn, reset));
     }
 }
 
-impl Part for Relay {
+impl Component for Relay {
     type Due = Release;
     type Command = Command;
 
-    fn start(&mut self, hub: &mut Loop) -> io::Result<()> {
-        hub.listen(self.spec.listen).map(|_| ())
+    fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
+        event_loop.listen(self.spec.listen).map(|_| ())
     }
 
-    fn accepted(&mut self, hub: &mut Loop, _on: ListenerId, conn: ConnId) {
-        let Ok(other) = hub.dial(self.spec.to) else {
-            hub.record(What::NotUp);
-            return hub.reset(conn);
+    fn accepted(&mut self, event_loop: &mut Loop, _on: ListenerId, conn: ConnId) {
+        let Ok(other) = event_loop.dial(self.spec.to) else {
+            event_loop.record(What::NotUp);
+            return event_loop.reset(conn);
         };
         self.pipes.join((conn, Direction::Forth), (other, Direction::Back));
     }
 
-    fn read(&mut self, hub: &mut Loop, conn: ConnId) {
-        self.take(hub, conn, false);
+    fn read(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        self.take(event_loop, conn, false);
     }
 
-    fn written(&mut self, hub: &mut Loop, conn: ConnId) {
+    fn written(&mut self, event_loop: &mut Loop, conn: ConnId) {
         if let Some(other) = self.pipes.other(conn) {
-            self.release(hub, other);
+            self.release(event_loop, other);
         }
     }
 
-    fn gone(&mut self, hub: &mut Loop, conn: ConnId, how: Gone) {
-        let Some(direction) = self.pipes.tag(conn) else { return hub.close(conn) };
-        if how == Gone::Refused {
-            hub.record(What::NotUp);
+    fn gone(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd) {
+        let Some(direction) = self.pipes.tag(conn) else { return event_loop.close(conn) };
+        if how == ConnectionEnd::Refused {
+            event_loop.record(What::NotUp);
         }
         match how {
-            Gone::Closed => self.take(hub, conn, true),
+            ConnectionEnd::Closed => self.take(event_loop, conn, true),
             // In the dark the far side does not learn of it.
-            Gone::Reset | Gone::Refused if !self.passes(direction) => {}
-            Gone::Reset | Gone::Refused => self.pipes.cut(hub, conn, true),
+            ConnectionEnd::Reset | ConnectionEnd::Refused if !self.passes(direction) => {}
+            ConnectionEnd::Reset | ConnectionEnd::Refused => self.pipes.cut(event_loop, conn, true),
         }
     }
 
-    fn due(&mut self, hub: &mut Loop, Release(conn): Release) {
-        self.release(hub, conn);
+    fn due(&mut self, event_loop: &mut Loop, Release(conn): Release) {
+        self.release(event_loop, conn);
     }
 
-    fn command(&mut self, hub: &mut Loop, command: Command) {
+    fn command(&mut self, event_loop: &mut Loop, command: Command) {
         let link = self.spec.name.clone();
         match command {
-            Command::To(to) => self.spec.to = to,
+            Command::SetTarget(to) => self.spec.to = to,
             Command::Fault { kind, amount, direction } => {
                 let how = format!("{kind:?}{}", direction.map_or(String::new(), |d| format!(" {d:?}")));
-                hub.record(What::Cut { link, how });
+                event_loop.record(What::Cut { link, how });
                 match kind {
                     FaultKind::Reset | FaultKind::Close => {
-                        self.cut_all(hub, kind == FaultKind::Reset);
+                        self.cut_all(event_loop, kind == FaultKind::Reset);
                     }
                     FaultKind::Delay => self.extra = Micros::from_ms(amount.unwrap_or(50.0)),
                     // Open connections fall silent for good; new ones are another matter.
                     FaultKind::HalfOpen => {
                         self.pipes.conns().into_iter().for_each(|conn| {
                             self.pipes.forget(conn);
-                            hub.pause(conn, true);
+                            event_loop.pause(conn, true);
                         });
                     }
                     _ => match direction {
@@ -142,20 +150,20 @@
                     },
                 }
             }
-            Command::Mend { kind } => {
-                hub.record(What::Healed { link });
+            Command::ClearFault { kind } => {
+                event_loop.record(What::Healed { link });
                 match kind {
                     FaultKind::Delay => self.extra = Micros::ZERO,
                     FaultKind::BlackHole => {
                         // What stood in the dark is reset, as when a machine is back.
                         self.dark = [false; 2];
-                        self.cut_all(hub, true);
+                        self.cut_all(event_loop, true);
                     }
                     FaultKind::HalfOpen => {
                         let kept = &self.pipes;
                         let dark: Vec<_> =
-                            hub.conns().into_iter().filter(|conn| kept.tag(*conn).is_none()).collect();
-                        dark.into_iter().for_each(|conn| hub.reset(conn));
+                            event_loop.conns().into_iter().filter(|conn| kept.tag(*conn).is_none()).collect();
+                        dark.into_iter().for_each(|conn| event_loop.reset(conn));
                     }
                     _ => {}
                 }
--- a/crates/lab/src/pipe.rs
+++ b/crates/lab/src/stream_forwarder.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::clock::{At, Micros};
-use crate::hub::{ConnId, Hub};
+use crate::event_loop::{ConnId, EventLoop};
 
 /// What was on the way over this connection may come out.
 #[derive(Clone, Copy, Debug)]
@@ -86,14 +86,20 @@
     }
 
     /// Takes what came on a connection onto the way, and its end with it where that came.
-    pub fn take<D: From<Release>>(&mut self, hub: &mut Hub<D>, conn: ConnId, end: bool, conduct: Conduct) {
+    pub fn take<D: From<Release>>(
+        &mut self,
+        event_loop: &mut EventLoop<D>,
+        conn: ConnId,
+        end: bool,
+        conduct: Conduct,
+    ) {
         let Some(way) = self.ends.get_mut(&conn) else { return };
-        let length = hub.input(conn).len();
-        let bytes = hub.take(conn, length);
+        let length = event_loop.input(conn).len();
+        let bytes = event_loop.take(conn, length);
         if conduct.way == Way::Dark {
             return;
         }
-        let mut out = (hub.now + conduct.delay).max(way.last);
+        let mut out = (event_loop.now + conduct.delay).max(way.last);
         if let Some(us) = (bytes.len() as u64 * 1_000_000).checked_div(conduct.rate) {
             out = out + Micros(us as i64);
         }
@@ -107,57 +113,57 @@
         }
         if way.bytes > conduct.buffer && !way.paused {
             way.paused = true;
-            hub.pause(conn, true);
+            event_loop.pause(conn, true);
         }
-        if out <= hub.now {
-            self.release(hub, conn, conduct);
+        if out <= event_loop.now {
+            self.release(event_loop, conn, conduct);
         } else {
-            hub.at(out, Release(conn).into());
+            event_loop.at(out, Release(conn).into());
         }
     }
 
-    pub fn release<D>(&mut self, hub: &mut Hub<D>, conn: ConnId, conduct: Conduct) {
+    pub fn release<D>(&mut self, event_loop: &mut EventLoop<D>, conn: ConnId, conduct: Conduct) {
         let buffer = conduct.buffer;
         loop {
             let Some(end) = self.ends.get_mut(&conn) else { return };
             let other = end.other;
             // Guards against the far side's slowness being hidden by a buffer without an end.
-            if conduct.way == Way::Held || hub.unwritten(other) > buffer {
+            if conduct.way == Way::Held || event_loop.unwritten(other) > buffer {
                 break;
             }
-            let Some((_, bytes)) = end.under_way.pop_front_if(|(at, _)| *at <= hub.now) else { break };
+            let Some((_, bytes)) = end.under_way.pop_front_if(|(at, _)| *at <= event_loop.now) else { break };
             end.bytes -= bytes.len();
             if conduct.way == Way::Dark {
                 continue;
             }
             if bytes.is_empty() {
                 end.closed = true;
-                hub.end_sending(other);
+                event_loop.end_sending(other);
                 let both = self.ends.get(&other).is_some_and(|end| end.closed);
                 if both {
-                    self.cut(hub, conn, false);
+                    self.cut(event_loop, conn, false);
                 }
                 return;
             }
-            hub.write(other, &bytes);
+            event_loop.write(other, &bytes);
         }
         if let Some(end) = self.ends.get_mut(&conn) {
             if end.paused && end.bytes <= buffer / 2 {
                 end.paused = false;
-                hub.pause(conn, false);
+                event_loop.pause(conn, false);
             }
         }
     }
 
     /// Ends both connections of a pair.
-    pub fn cut<D>(&mut self, hub: &mut Hub<D>, conn: ConnId, reset: bool) {
+    pub fn cut<D>(&mut self, event_loop: &mut EventLoop<D>, conn: ConnId, reset: bool) {
         let Some(end) = self.ends.remove(&conn) else { return };
         self.ends.remove(&end.other);
         for conn in [conn, end.other] {
             if reset {
-                hub.reset(conn);
+                event_loop.reset(conn);
             } else {
-                hub.close(conn);
+                event_loop.close(conn);
             }
         }
     }
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -1,9 +1,9 @@
 //! What a scenario's faults come to: single steps in the order of time, told to the parts that they befall.
 
 use crate::clock::Micros;
-use crate::peer::Command;
+use crate::component::Command;
 use crate::scenario::{Fault, FaultKind, Known, Scenario};
-use crate::{agent, backend, clients, relay, ways};
+use crate::{agent, backend, clients, peer_network, relay};
 
 const NOTICE: Micros = Micros::from_millis(500); // until a crash is known
 const BACK: Micros = Micros::from_millis(800); // a killed proxy is back, unless the fault says when
@@ -138,10 +138,12 @@
     say(fault.kind, (at, off), text, steps);
     let name = format!("{}/w", scenario.tiers[tier].name);
     let (kind, amount, jitter, chance) = (fault.kind, fault.amount, fault.jitter, fault.chance);
-    let trouble = ways::Trouble { kind, pairs, amount, jitter, chance };
-    let begin = Command::Ways(ways::Command::Fault { number, trouble });
+    let fault = peer_network::ActiveFault { kind, pairs, amount, jitter, chance };
+    let begin = Command::PeerNetwork(peer_network::Command::Fault { number, fault });
     steps.push((at, Step::Tell(name.clone(), begin)));
-    steps.extend(off.map(|off| (off, Step::Tell(name, Command::Ways(ways::Command::Mend { number })))));
+    steps.extend(off.map(|off| {
+        (off, Step::Tell(name, Command::PeerNetwork(peer_network::Command::ClearFault { number })))
+    }));
 }
 
 fn part_steps(
@@ -178,7 +180,7 @@
             let shut = at + t.lag + t.drain_grace + Micros::from_millis(100);
             push(shut, Step::Tell(name.clone(), Command::Backend(backend::Command::Drain)));
             if !fault.stays {
-                push(shut, Step::Tell(name.clone(), Command::Backend(backend::Command::End)));
+                push(shut, Step::Tell(name.clone(), Command::Backend(backend::Command::Shutdown)));
             }
             let back = off.map(|off| off.max(shut + Micros::from_millis(300)));
             push(back.unwrap_or(shut + Micros::from_millis(300)), word("Gone"));
@@ -214,7 +216,7 @@
             let cut = relay::Command::Fault { kind, amount, direction };
             push(at, Step::Tell(name.clone(), Command::Relay(cut)));
             let over = off.unwrap_or(at + Micros::from_millis(1));
-            push(over, Step::Tell(name, Command::Relay(relay::Command::Mend { kind })));
+            push(over, Step::Tell(name, Command::Relay(relay::Command::ClearFault { kind })));
         }
         Herd => push(at, Step::Tell(name, Command::Clients(clients::Command::Herd))),
         Kill | Term => {
@@ -251,11 +253,12 @@
             }
         }
         kind => {
-            let fault = backend::Trouble { kind, amount: fault.amount, chance: fault.chance, nth: fault.nth };
+            let fault =
+                backend::ActiveFault { kind, amount: fault.amount, chance: fault.chance, nth: fault.nth };
             let command = backend::Command::Fault { number, fault };
             push(at, Step::Tell(name.clone(), Command::Backend(command)));
             if let Some(off) = off {
-                push(off, Step::Tell(name, Command::Backend(backend::Command::Mend { number })));
+                push(off, Step::Tell(name, Command::Backend(backend::Command::ClearFault { number })));
             }
         }
     }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -12,18 +12,18 @@
 
 use rustix::process::Signal;
 
-use crate::agent::{self, Entry};
+use crate::agent::{self, BackendEntry};
 use crate::backend;
 use crate::clock::{At, Micros};
+use crate::component::{Command, ComponentHandle, Spec};
 use crate::configuration::{self, FleetTold, Told};
 use crate::deployment::zone;
-use crate::peer::{Command, Peer, Spec};
 use crate::process::{Became, Life, Process};
 use crate::record::{Recorder, What};
 use crate::scenario::{Balance, Fault, FaultKind, Known, Scenario, Tier};
 use crate::timeline::{self, Step};
 use crate::watch::Watch;
-use crate::{balancer, clients, plan, relay, ways};
+use crate::{balancer, clients, peer_network, plan, relay};
 
 const TURN: Duration = Duration::from_millis(2);
 const LOOK_EVERY: Micros = Micros::from_millis(4); // at the proxies' processes
@@ -73,12 +73,12 @@
     options: &'a Options,
     recorder: Recorder,
     base: (u8, u8, u16),
-    peers: BTreeMap<String, Peer>,
+    peers: BTreeMap<String, ComponentHandle>,
     proxies: Vec<Process>,
     looked: At,
-    entries: BTreeMap<(usize, usize), Entry>,
+    entries: BTreeMap<(usize, usize), BackendEntry>,
     /// The lists as they were when the run began, by tier.
-    first: BTreeMap<usize, Vec<Entry>>,
+    first: BTreeMap<usize, Vec<BackendEntry>>,
     /// Where each proxy's agent is.
     agents: BTreeMap<(usize, usize), SocketAddr>,
     agent_moves: u16,
@@ -123,7 +123,7 @@
             tier: Tier { cores: t.cores_of(n), ..t.clone() },
             classes: self.scenario.classes.clone(),
             address: self.address(tier, 's', n),
-            below,
+            next_tier: below,
             seed: plan::mix(self.seed, &t.name),
             warm,
         }
@@ -132,8 +132,8 @@
     fn add(&mut self, spec: Spec, apart: bool) -> Result<(), Failure> {
         let records = records_of(&self.options.dir);
         let peer = match apart {
-            true => Peer::apart(spec, &self.options.program, &records),
-            false => Peer::on_thread(spec, &self.recorder),
+            true => ComponentHandle::spawn_process(spec, &self.options.program, &records),
+            false => ComponentHandle::spawn_thread(spec, &self.recorder),
         };
         let peer = peer.map_err(Failure::Unusable)?;
         self.peers.insert(peer.name.clone(), peer);
@@ -142,7 +142,7 @@
 
     fn tell(&mut self, name: &str, command: Command) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.tell(command);
+            peer.send(command);
         }
     }
 
@@ -150,18 +150,20 @@
         for (t, tier) in self.scenario.tiers.iter().enumerate() {
             for n in 0..tier.backends {
                 self.add(Spec::Backend(Box::new(self.backend_spec(t, n, true))), tier.apart)?;
-                let mut dial = self.address(t, 's', n);
+                let mut address = self.address(t, 's', n);
                 if let Some(link) = tier.link {
                     let (name, listen) = (self.name(t, 'l', n), self.address(t, 'l', n));
                     let seed = plan::mix(self.seed, &name);
-                    self.add(Spec::Relay(relay::Spec { name, listen, to: dial, link, seed }), false)?;
-                    dial = listen;
+                    self.add(Spec::Relay(relay::Spec { name, listen, to: address, link, seed }), false)?;
+                    address = listen;
                 }
-                let (host, site, block) = (self.name(t, 's', n), zone(n % tier.zones), n / tier.pod);
-                let (health, share, born_ms) = ("Ready".to_string(), tier.size(n), 0.0);
-                self.entries.insert((t, n), Entry { host, dial, site, block, health, share, born_ms });
+                let (host, zone, pod) = (self.name(t, 's', n), zone(n % tier.zones), n / tier.pod);
+                let (health, size, started_ms) = ("Ready".to_string(), tier.size(n), 0.0);
+                self.entries
+                    .insert((t, n), BackendEntry { host, address, zone, pod, health, size, started_ms });
             }
-            let entries: Vec<Entry> = (0..tier.backends).map(|n| self.entries[&(t, n)].clone()).collect();
+            let entries: Vec<BackendEntry> =
+                (0..tier.backends).map(|n| self.entries[&(t, n)].clone()).collect();
             if tier.balance == Balance::Sparlug {
                 let side = |n| (self.name(t, 'p', n), self.address(t, 'a', n));
                 let listen = (0..tier.proxies).map(side).collect();
@@ -171,14 +173,18 @@
             }
             self.first.insert(t, entries);
             if let Some(fleet) = tier.fleet {
-                let face = |n| ways::Face {
+                let endpoint = |n| peer_network::ProxyEndpoint {
                     proxy: self.name(t, 'p', n),
-                    own: self.address(t, 'f', n),
-                    face: self.address(t, 'w', n),
+                    address: self.address(t, 'f', n),
+                    advertised: self.address(t, 'w', n),
                 };
-                let (name, faces) = (format!("{}/w", tier.name), (0..tier.proxies).map(face).collect());
-                let (nobody, seed) = (self.address(t, 'w', NOBODY), plan::mix(self.seed, &name));
-                self.add(Spec::Ways(ways::Spec { name, faces, fleet, nobody, seed }), false)?;
+                let (name, endpoints) =
+                    (format!("{}/w", tier.name), (0..tier.proxies).map(endpoint).collect());
+                let (unknown_sender, seed) = (self.address(t, 'w', NOBODY), plan::mix(self.seed, &name));
+                self.add(
+                    Spec::PeerNetwork(peer_network::Spec { name, endpoints, fleet, unknown_sender, seed }),
+                    false,
+                )?;
             }
             let absent = self.scenario.absent(t);
             for n in 0..tier.proxies {
@@ -229,11 +235,11 @@
         balancer::Spec {
             listen: self.address(t, 'p', n),
             balance: tier.balance,
-            tries: tier.tries,
-            try_time: tier.try_time,
-            plant: tier.plant,
-            allowance,
-            again,
+            max_attempts: tier.tries,
+            attempt_timeout: tier.try_time,
+            seeded_defect: tier.plant,
+            slow_start_limit: allowance,
+            restarted: again,
             entries: self.known(t, known),
             classes: self.scenario.classes.clone(),
             seed: plan::mix(self.seed, &name),
@@ -242,7 +248,7 @@
     }
 
     /// The list of backends that a file holds.
-    fn known(&self, tier: usize, known: Known) -> Vec<Entry> {
+    fn known(&self, tier: usize, known: Known) -> Vec<BackendEntry> {
         match known {
             Known::None => Vec::new(),
             Known::Old => self.first.get(&tier).cloned().unwrap_or_default(),
@@ -323,7 +329,8 @@
         let tier = &self.scenario.tiers[t];
         if tier.balance != Balance::Sparlug {
             let spec = Spec::Balancer(self.stand_in(t, n, again, known));
-            let peer = Peer::apart(spec, &self.options.program, &records_of(&self.options.dir));
+            let peer =
+                ComponentHandle::spawn_process(spec, &self.options.program, &records_of(&self.options.dir));
             let parts = peer.map_err(Failure::Unusable)?.into_process();
             let (child, input) =
                 parts.ok_or_else(|| Failure::CouldNot("a stand-in has no input".to_string()))?;
@@ -427,7 +434,7 @@
                 self.tell(&format!("{}/a", t.name), Command::Agent(agent::Command::Set(entry)));
             }
             Balance::Direct => {
-                let (name, up, address) = (entry.host, health == "Ready", Some(entry.dial));
+                let (name, up, address) = (entry.host, health == "Ready", Some(entry.address));
                 self.tell("callers", Command::Clients(clients::Command::Target { name, up, address }));
             }
             _ => {
@@ -451,7 +458,7 @@
             Step::Tell(name, command) => self.tell(&name, command),
             Step::Word { tier, n, health } => self.word(tier, n, health),
             Step::KillBackend(name) => {
-                let killed = self.peers.get_mut(&name).is_some_and(Peer::kill);
+                let killed = self.peers.get_mut(&name).is_some_and(ComponentHandle::kill);
                 if killed {
                     self.recorder.named(&name).write(At::now(), What::Stopped { how: "killed".into() });
                 } else {
@@ -522,13 +529,13 @@
         let Some((tier, _, n)) = found.first().copied() else { return Ok(()) };
         let address = moved.then(|| self.address(tier, 'm', n));
         if let Some(entry) = self.entries.get_mut(&(tier, n)) {
-            entry.born_ms = agent::unix_ms(At::now());
+            entry.started_ms = agent::unix_ms(At::now());
             if scenario.tiers[tier].link.is_none() {
-                entry.dial = address.unwrap_or(entry.dial);
+                entry.address = address.unwrap_or(entry.address);
             }
         }
         if let (Some(to), true) = (address, scenario.tiers[tier].link.is_some()) {
-            self.tell(&self.name(tier, 'l', n), Command::Relay(relay::Command::To(to)));
+            self.tell(&self.name(tier, 'l', n), Command::Relay(relay::Command::SetTarget(to)));
         }
         if scenario.tiers[tier].apart {
             let mut spec = self.backend_spec(tier, n, false);
@@ -549,7 +556,7 @@
         let front = &scenario.tiers[0];
         let targets = match front.balance {
             Balance::Direct => {
-                (0..front.backends).map(|n| (self.name(0, 's', n), self.entries[&(0, n)].dial)).collect()
+                (0..front.backends).map(|n| (self.name(0, 's', n), self.entries[&(0, n)].address)).collect()
             }
             _ => (0..front.proxies).map(|n| (self.name(0, 'p', n), self.front(n))).collect(),
         };
@@ -557,19 +564,19 @@
         // Before the start is set: it may take a while.
         let intents = plan::intents(scenario, self.seed);
         // Idle connections are opened first, at a pace that the backlog can take.
-        let opening = Micros(scenario.callers.idle as i64 * clients::IDLE_PACE.0 * 4 / 3);
+        let opening = Micros(scenario.callers.idle as i64 * clients::IDLE_CONNECT_INTERVAL.0 * 4 / 3);
         self.start = At::now() + Micros::from_millis(150) + opening;
         let spec = clients::Spec {
             name: "callers".to_string(),
             classes: scenario.classes.clone(),
-            callers: scenario.callers.clone(),
+            behavior: scenario.callers.clone(),
             intents,
-            closed: scenario.load.closed,
-            scatter: front.balance == Balance::Direct,
+            closed_loop_clients: scenario.load.closed,
+            random_target: front.balance == Balance::Direct,
             targets,
-            absent,
+            absent_targets: absent,
             start: self.start,
-            lasts: scenario.lasts,
+            duration: scenario.lasts,
             seed: self.seed,
         };
         self.add(Spec::Clients(spec), false)?;
@@ -602,7 +609,7 @@
             progress(At::now().since(self.start).secs() / scenario.lasts.secs());
             let mut over = At::now() > last;
             for (name, peer) in &mut self.peers {
-                if peer.ended() {
+                if peer.has_exited() {
                     match name.as_str() {
                         "callers" => over = true,
                         // A backend's own process that was killed by the plan.
--- a/crates/lab/tests/parts.rs
+++ b/crates/lab/tests/parts.rs
@@ -8,7 +8,7 @@
 use sparlug_lab::record::{self, Record, Recorder, What};
 use sparlug_lab::scenario::{Bounds, Scenario};
 use sparlug_lab::source::Source;
-use sparlug_lab::{message, plan};
+use sparlug_lab::{http_message, plan};
 
 fn calm() -> String {
     std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/calm.toml")).unwrap()
@@ -159,18 +159,19 @@
 
 #[test]
 fn messages_are_read_the_same_however_they_are_cut() {
-    let bytes = message::write_request("POST", "/book-slot?x=1", "h", &[("Request-Id", "7".into())], b"body");
+    let bytes =
+        http_message::encode_request("POST", "/book-slot?x=1", "h", &[("Request-Id", "7".into())], b"body");
     for cut in 0..bytes.len() {
-        assert_eq!(message::request(&bytes[..cut]), Ok(None));
+        assert_eq!(http_message::parse_request(&bytes[..cut]), Ok(None));
     }
-    let read = message::request(&bytes).unwrap().unwrap();
+    let read = http_message::parse_request(&bytes).unwrap().unwrap();
     assert_eq!(
         (read.class(), read.header("request-id"), read.body.as_slice()),
         ("book-slot", Some("7"), &b"body"[..])
     );
     assert_eq!(read.length, bytes.len());
-    assert!(message::answer(b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\n").is_err());
-    assert!(message::answer(b"nonsense\r\n\r\n").is_err());
+    assert!(http_message::parse_response(b"HTTP/1.1 200 OK\r\nContent-Length: 1x\r\n\r\n").is_err());
+    assert!(http_message::parse_response(b"nonsense\r\n\r\n").is_err());
 }
 
 #[test]
--- a/crates/lab/tests/ways.rs
+++ b/crates/lab/tests/peer_network.rs
@@ -7,18 +7,18 @@
 use std::time::{Duration, Instant};
 
 use sparlug_lab::clock::Micros;
-use sparlug_lab::peer::{Command, Peer, Spec};
+use sparlug_lab::component::{Command, ComponentHandle, Spec};
+use sparlug_lab::peer_network::{self, ActiveFault, ProxyEndpoint};
 use sparlug_lab::record::{self, Recorder, What};
 use sparlug_lab::scenario::{FaultKind, Fleet};
-use sparlug_lab::ways::{self, Face, Trouble};
 
 const NONE: Duration = Duration::from_millis(150); // after which nothing more is awaited
 const COMES: Duration = Duration::from_secs(20); // what must come has come by then
 
 struct Net {
-    peer: Peer,
+    peer: ComponentHandle,
     sockets: Vec<UdpSocket>,
-    faces: Vec<Face>,
+    endpoints: Vec<ProxyEndpoint>,
     records: PathBuf,
 }
 
@@ -33,18 +33,23 @@
             .parse()
             .unwrap()
     };
-    let faces: Vec<Face> = (0..3)
-        .map(|n| Face { proxy: format!("front/p-{n}"), own: address(n, 0), face: address(n, 1) })
+    let endpoints: Vec<ProxyEndpoint> = (0..3)
+        .map(|n| ProxyEndpoint {
+            proxy: format!("front/p-{n}"),
+            address: address(n, 0),
+            advertised: address(n, 1),
+        })
         .collect();
-    let sockets: Vec<UdpSocket> = faces.iter().map(|face| UdpSocket::bind(face.own).unwrap()).collect();
+    let sockets: Vec<UdpSocket> =
+        endpoints.iter().map(|endpoint| UdpSocket::bind(endpoint.address).unwrap()).collect();
     sockets.iter().for_each(|socket| socket.set_read_timeout(Some(NONE)).unwrap());
     let records = std::env::temp_dir().join(format!("sparlug-ways-{}-{own}.jsonl", std::process::id()));
     let _ = std::fs::remove_file(&records);
     let recorder = Recorder::open(&records, "lab").unwrap();
-    let (name, nobody) = ("front/w".to_string(), address(200, 2));
-    let spec = ways::Spec { name, faces: faces.clone(), fleet, nobody, seed: 1 };
-    let peer = Peer::on_thread(Spec::Ways(spec), &recorder).unwrap();
-    Net { peer, sockets, faces, records }
+    let (name, unknown_sender) = ("front/w".to_string(), address(200, 2));
+    let spec = peer_network::Spec { name, endpoints: endpoints.clone(), fleet, unknown_sender, seed: 1 };
+    let peer = ComponentHandle::spawn_thread(Spec::PeerNetwork(spec), &recorder).unwrap();
+    Net { peer, sockets, endpoints, records }
 }
 
 impl Net {
@@ -56,18 +61,18 @@
         amount: Option<f64>,
         chance: Option<f64>,
     ) {
-        let trouble = Trouble { kind, pairs: pairs.to_vec(), amount, jitter: Micros::ZERO, chance };
-        self.peer.tell(Command::Ways(ways::Command::Fault { number, trouble }));
+        let fault = ActiveFault { kind, pairs: pairs.to_vec(), amount, jitter: Micros::ZERO, chance };
+        self.peer.send(Command::PeerNetwork(peer_network::Command::Fault { number, fault }));
         std::thread::sleep(Duration::from_millis(60));
     }
 
     fn mend(&mut self, number: u32) {
-        self.peer.tell(Command::Ways(ways::Command::Mend { number }));
+        self.peer.send(Command::PeerNetwork(peer_network::Command::ClearFault { number }));
         std::thread::sleep(Duration::from_millis(60));
     }
 
     fn send(&self, from: usize, to: usize, bytes: &[u8]) {
-        self.sockets[from].send_to(bytes, self.faces[to].face).unwrap();
+        self.sockets[from].send_to(bytes, self.endpoints[to].advertised).unwrap();
     }
 
     /// All that comes to one until nothing does for a while, and from where.
@@ -97,10 +102,10 @@
 fn a_datagram_comes_from_the_address_that_its_sender_is_known_by() {
     let net = net(Fleet::default());
     net.send(0, 2, b"hello");
-    assert_eq!(net.heard(2), [(b"hello".to_vec(), net.faces[0].face)]);
+    assert_eq!(net.heard(2), [(b"hello".to_vec(), net.endpoints[0].advertised)]);
     assert!(net.heard(1).is_empty());
     // One that nobody is known by goes nowhere.
-    UdpSocket::bind("127.0.0.1:0").unwrap().send_to(b"x", net.faces[2].face).unwrap();
+    UdpSocket::bind("127.0.0.1:0").unwrap().send_to(b"x", net.endpoints[2].advertised).unwrap();
     assert!(net.heard(2).is_empty());
 }
 
@@ -169,7 +174,9 @@
     let began = Instant::now();
     while strange < 100 && began.elapsed() < COMES {
         if let Ok((_, from)) = net.sockets[1].recv_from(&mut buffer) {
-            strange += u32::from(net.faces.iter().all(|face| face.face != from && face.own != from));
+            strange += u32::from(
+                net.endpoints.iter().all(|endpoint| endpoint.advertised != from && endpoint.address != from),
+            );
         }
     }
     assert_eq!(strange, 100);
@@ -181,13 +188,13 @@
 #[test]
 fn a_stream_waits_while_its_way_is_parted_and_goes_on_after() {
     let mut net = net(Fleet::default());
-    let listener = TcpListener::bind(net.faces[1].own).unwrap();
+    let listener = TcpListener::bind(net.endpoints[1].address).unwrap();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::new(net.faces[0].own.ip(), 0).into()).unwrap();
-    socket.connect(&net.faces[1].face.into()).unwrap();
+    socket.bind(&SocketAddr::new(net.endpoints[0].address.ip(), 0).into()).unwrap();
+    socket.connect(&net.endpoints[1].advertised.into()).unwrap();
     let mut one = TcpStream::from(socket);
     let (mut other, from) = listener.accept().unwrap();
-    assert_eq!(from.ip(), net.faces[0].own.ip());
+    assert_eq!(from.ip(), net.endpoints[0].address.ip());
     let mut piece = [0; 4];
     one.write_all(b"ping").unwrap();
     other.read_exact(&mut piece).unwrap();
@@ -203,7 +210,7 @@
     other.read_exact(&mut piece).unwrap();
     assert_eq!(&piece, b"held");
     // Whoever is not known gets no stream.
-    let mut stranger = TcpStream::connect(net.faces[1].face).unwrap();
+    let mut stranger = TcpStream::connect(net.endpoints[1].advertised).unwrap();
     stranger.set_read_timeout(Some(COMES)).unwrap();
     assert!(!matches!(stranger.read(&mut piece), Ok(1..)));
 }
