--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -189,7 +189,7 @@
     pub(crate) leaving: bool,
     pub(crate) conflict: Option<IdentityConflict>,
     /// The last other process that claimed this process's address: its generation, and when it was last told
-    /// so.
+    /// who is reached there.
     pub(crate) address_claimant: (u64, Time),
     /// When it last learned that others declared it dead.
     pub(crate) reported_dead_at: Option<Time>,
