--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -59,7 +59,7 @@
 pub fn take_over(path: &Path, listen: SocketAddr) -> Result<Option<ReceivedHandover>, String> {
     let stream = match StdUnixStream::connect(path) {
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
-        found => found.map_err(|e| format!("cannot connect to the predecessor: {e}"))?,
+        result => result.map_err(|e| format!("cannot connect to the predecessor: {e}"))?,
     };
     is_same_user(&stream).then_some(()).ok_or("the predecessor belongs to another user")?;
     let start = Instant::now();
--- a/crates/setup/src/fleet.rs
+++ b/crates/setup/src/fleet.rs
@@ -98,10 +98,10 @@
         let advertise = match &raw.advertise {
             None => {
                 if let (Some(_), Some(address)) = (address.filter(is_unroutable), &raw.address) {
-                    let wanted = "wanted an address that others can send to, or advertise beside it";
+                    let expected = "wanted an address that others can send to, or advertise beside it";
                     self.report(
                         address.span().start,
-                        format!("fleet.address: {:?}: {wanted}", address.get_ref()),
+                        format!("fleet.address: {:?}: {expected}", address.get_ref()),
                     );
                 }
                 address
@@ -144,8 +144,8 @@
                 }
                 Ok(member) => members.push(member),
                 Err(_) => {
-                    let wanted = "wanted an address and a port, such as \"127.0.0.1:7101\"";
-                    self.report(offset, format!("{field}: {text:?}: {wanted}"));
+                    let expected = "wanted an address and a port, such as \"127.0.0.1:7101\"";
+                    self.report(offset, format!("{field}: {text:?}: {expected}"));
                 }
             }
         }
--- a/crates/setup/src/lib.rs
+++ b/crates/setup/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decodes the configuration of an instance into the settings of the decision module and what the adapters
-//! around it need. Outer names of configuration fields occur only in this crate: the adapters use the decision
-//! module's own terms.
+//! around it need. Outer names of configuration fields occur only in this crate: the adapters use the
+//! decision module's own terms.
 
 pub mod fleet;
 pub mod native;
--- a/crates/setup/src/native.rs
+++ b/crates/setup/src/native.rs
@@ -80,7 +80,8 @@
     tier: Tier,
     fleet: Option<Spanned<RawFleet>>,
     backends: Backends,
-    answers: Answers,
+    #[serde(rename = "answers")]
+    responses: Responses,
     #[serde(rename = "tariff")]
     class: BTreeMap<String, Spanned<RawClass>>,
 }
@@ -154,7 +155,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Answers {
+struct Responses {
     longest_retry_after: Option<Spanned<String>>,
 }
 
@@ -174,10 +175,10 @@
 
 /// Parses a time span with its unit, such as `250ms`.
 pub fn parse_span(text: &str) -> Result<Span, String> {
-    let wanted = || {
+    let error = || {
         format!("{text:?} is not a time span: wanted a number with us, ms, s, min or h, such as \"250ms\"")
     };
-    let split = text.find(|c: char| c.is_ascii_alphabetic()).ok_or_else(wanted)?;
+    let split = text.find(|c: char| c.is_ascii_alphabetic()).ok_or_else(error)?;
     let (number, unit) = text.split_at(split);
     let unit = match unit {
         "us" => 1e-3,
@@ -185,11 +186,11 @@
         "s" => 1e3,
         "min" => 6e4,
         "h" => 3.6e6,
-        _ => return Err(wanted()),
+        _ => return Err(error()),
     };
-    let number: f64 = number.trim().parse().map_err(|_| wanted())?;
+    let number: f64 = number.trim().parse().map_err(|_| error())?;
     if !(0.0..=1e6).contains(&number) {
-        return Err(wanted());
+        return Err(error());
     }
     Ok(Span::from_ms(number * unit))
 }
@@ -275,8 +276,8 @@
         offset: usize,
     ) -> Option<SocketAddr> {
         let parse = |text: &String| {
-            let wanted = |_| format!("{text:?}: wanted an address and a port, such as \"127.0.0.1:8080\"");
-            text.parse::<SocketAddr>().map_err(wanted)
+            let error = |_| format!("{text:?}: wanted an address and a port, such as \"127.0.0.1:8080\"");
+            text.parse::<SocketAddr>().map_err(error)
         };
         if value.is_none() {
             self.report(offset, format!("{field}: missing; wanted an address and a port"));
@@ -525,7 +526,7 @@
         overload_ratio: checker.number("backends.cold_multiple", &backends.cold_multiple, (1.0, 1000.0), 3.0),
         overload_window: checker.positive_span("backends.cold_window", &backends.cold_window, "3s"),
     };
-    let retry_after = &raw.answers.longest_retry_after;
+    let retry_after = &raw.responses.longest_retry_after;
     let max_backoff =
         retry_after.is_some().then(|| checker.span("answers.longest_retry_after", retry_after, "1s"));
 
--- a/crates/setup/tests/native.rs
+++ b/crates/setup/tests/native.rs
@@ -25,11 +25,11 @@
 
 #[test]
 fn minimal_configuration_uses_defaults() {
-    let found = decode(MINIMAL).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
-    assert_eq!(found.backend_source, BackendSource::Agent("127.0.0.1:8500".parse().unwrap()));
-    assert_eq!((found.sockets, found.memory_mb, found.log_format), (1024, 192, LogFormat::Text));
-    assert_eq!(found.setup.class_names, ["check-free"]);
-    let settings = &found.setup.settings;
+    let config = decode(MINIMAL).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
+    assert_eq!(config.backend_source, BackendSource::Agent("127.0.0.1:8500".parse().unwrap()));
+    assert_eq!((config.sockets, config.memory_mb, config.log_format), (1024, 192, LogFormat::Text));
+    assert_eq!(config.setup.class_names, ["check-free"]);
+    let settings = &config.setup.settings;
     assert_eq!((settings.max_attempts, settings.instances, settings.max_backoff), (3, 1, None));
     assert_eq!(settings.classes[0].target, Span::from_millis(210));
     assert_eq!(settings.classes[0].effect, Effect::Safe);
@@ -42,14 +42,14 @@
            [tier]\nzones = [\"a\", \"b\"]\nzone = \"b\"\n[tariff.mark]\ngoal = \"1s\"\ncut_off = \"2s\"\n\
            effect = \"numbered\"\ngroup = \"pod\"\nwindow = \"3s\"\n";
     assert_eq!(diagnostics(&text).len(), 1, "{:?}", diagnostics(&text));
-    let found =
+    let config =
         decode(&text.replace("effect_of = 1\n", "")).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
-    let BackendSource::Static(backends) = &found.backend_source else {
+    let BackendSource::Static(backends) = &config.backend_source else {
         panic!("agent instead of static backends")
     };
     assert_eq!((backends[0].name.as_str(), backends[0].zone, backends[0].size), ("s-1", Some(1), 2.0));
     let window = Span::from_millis(3000);
-    assert_eq!(found.setup.settings.classes[1].effect, Effect::Keyed { group: Group::Pod, window });
+    assert_eq!(config.setup.settings.classes[1].effect, Effect::Keyed { group: Group::Pod, window });
 }
 
 #[test]
@@ -100,9 +100,12 @@
         (with("[log]\nformat = \"xml\"\n"), "14: log.format: \"xml\": wanted text or json"),
         ("name = \"x\" =\n".to_string() + MINIMAL, "1: "),
     ];
-    for (text, wanted) in cases {
-        let found = diagnostics(&text);
-        assert!(found.iter().any(|diagnostic| diagnostic.starts_with(wanted)), "{found:?} lacks {wanted:?}");
+    for (text, expected) in cases {
+        let reported = diagnostics(&text);
+        assert!(
+            reported.iter().any(|diagnostic| diagnostic.starts_with(expected)),
+            "{reported:?} lacks {expected:?}"
+        );
     }
 }
 
@@ -114,26 +117,26 @@
         .replace("8080", "port")
         .replace("reissuable", "no")
         + "[limit]\nsockets = 1\n[backends]\nidle = 4\n";
-    let found = diagnostics(&text);
-    let lines: Vec<&str> = found.iter().filter_map(|diagnostic| diagnostic.split(':').next()).collect();
-    assert_eq!(lines, ["1", "4", "10", "12", "13", "16"], "{found:#?}");
+    let reported = diagnostics(&text);
+    let lines: Vec<&str> = reported.iter().filter_map(|diagnostic| diagnostic.split(':').next()).collect();
+    assert_eq!(lines, ["1", "4", "10", "12", "13", "16"], "{reported:#?}");
 }
 
 #[test]
 fn key_affinity_and_peer_messages_are_off_by_default() {
-    let found = decode(MINIMAL).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
-    let settings = &found.setup.settings;
+    let config = decode(MINIMAL).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
+    let settings = &config.setup.settings;
     assert_eq!(
-        (settings.key_affinity, settings.peer_messages, found.setup.peer_addresses.len()),
+        (settings.key_affinity, settings.peer_messages, config.setup.peer_addresses.len()),
         (false, false, 0)
     );
     let text = MINIMAL.to_string()
         + "[tier]\nproxies = 2\nordinal = 1\npeers = [\"127.0.0.1:9601\", \"127.0.0.1:9602\"]\n\
            [backends]\nremember_keys = true\n";
-    let found = decode(&text).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
-    let settings = &found.setup.settings;
+    let config = decode(&text).unwrap_or_else(|diagnostics| panic!("{diagnostics:?}"));
+    let settings = &config.setup.settings;
     assert_eq!(
-        (settings.key_affinity, settings.peer_messages, found.setup.peer_addresses.len()),
+        (settings.key_affinity, settings.peer_messages, config.setup.peer_addresses.len()),
         (true, true, 2)
     );
 }
