--- a/crates/proxy/tests/http_parsing.rs
+++ b/crates/proxy/tests/http_parsing.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies, without a socket.
+//! Parsing and forwarding of heads and bodies, and parsing of load reports and keys, without sockets.
 
 use sparlug::time::Span;
 use sparlug_proxy::http::{
@@ -11,7 +11,7 @@
     Request-Timeout: 0.480\r\nConnection: keep-alive\r\nContent-Length: 3\r\n\r\nabc";
 
 #[test]
-fn a_head_in_pieces_is_read_once_it_is_whole() {
+fn head_in_pieces_is_parsed_once_it_is_complete() {
     let end = REQUEST.len() - 3;
     for length in 0..end {
         assert!(
@@ -25,20 +25,20 @@
 }
 
 #[test]
-fn what_goes_on_keeps_its_bytes_and_carries_the_time_left() {
+fn forwarded_request_keeps_its_bytes_and_carries_the_time_left() {
     let head = parse_request_head(REQUEST.as_bytes(), CLIENT_METHODS).unwrap().unwrap();
     let (forwarded, _) = head.for_backend(REQUEST.as_bytes(), Span::from_ms(123.45));
     let expected =
         "POST /write/7?x=1 HTTP/1.1\r\nHost: api.internal\r\nrequest-id: 9b1f\r\nX-Odd:  a\tb \r\n\
         Content-Length: 3\r\nRequest-Timeout: 0.1235\r\n\r\nabc";
     assert_eq!(String::from_utf8(forwarded).unwrap(), expected);
-    // Guards against a time of 0, which a backend may take for no time-out or for a bad one.
+    // Guards against a time-out of 0, which a backend may take for none or for an invalid one.
     let (forwarded, _) = head.for_backend(REQUEST.as_bytes(), Span::ZERO);
     assert!(String::from_utf8(forwarded).unwrap().contains("Request-Timeout: 0.0001\r\n"));
 }
 
 #[test]
-fn a_chunked_body_ends_where_its_trailer_does() {
+fn chunked_body_ends_with_its_trailer() {
     let text = "POST /write HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
         3;ext=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\nGET";
     let head = parse_request_head(text.as_bytes(), CLIENT_METHODS).unwrap().unwrap();
@@ -53,21 +53,21 @@
     }
     assert_eq!(body.parse_buffered(bytes, false, MAX_BUFFERED_BODY_BYTES), Ok(Some(bytes.len() - 3)));
     assert_eq!(body.decode(bytes), b"abcde");
-    for (chunks, bad) in [
+    for (chunks, error) in [
         ("x\r\n", HttpError::Malformed),
         ("1\r\nabc", HttpError::Malformed),
         ("FFFFFFFF\r\n", HttpError::BodyTooLarge),
     ] {
         assert_eq!(
             head.body.clone().parse_buffered(chunks.as_bytes(), false, MAX_BUFFERED_BODY_BYTES),
-            Err(bad),
+            Err(error),
             "{chunks:?}"
         );
     }
 }
 
 #[test]
-fn bad_heads_are_told_apart() {
+fn each_kind_of_invalid_head_has_its_own_error() {
     let long = format!("GET /read HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD_BYTES));
     let many = format!("GET /read HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(101));
     let cases = [
@@ -79,13 +79,13 @@
         ("POST /write HTTP/1.1\r\nContent-Length: -1\r\n\r\n", HttpError::Malformed),
         ("POST /write HTTP/1.1\r\nContent-Length: 33554433\r\n\r\n", HttpError::BodyTooLarge),
         ("POST /write HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", HttpError::Malformed),
-        // Two readings of where the request ends.
+        // The end of the request is ambiguous.
         ("POST /write HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", HttpError::Malformed),
         (
             "POST /write HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
             HttpError::Malformed,
         ),
-        // What a backend may read in another way, or not at all.
+        // A backend may interpret these differently, or reject them.
         ("GET /read HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Id: 2\r\n\r\n", HttpError::Malformed),
         ("GET /read HTTP/1.1\r\nTenant: a\r\nTenant: b\r\n\r\n", HttpError::Malformed),
         ("GET /read HTTP/1.1\r\nRequest-Id: 1\nX: 2\r\n\r\n", HttpError::Malformed),
@@ -93,42 +93,42 @@
         (&long, HttpError::HeadTooLarge),
         (&many, HttpError::HeadTooLarge),
     ];
-    for (text, bad) in cases {
-        assert_eq!(parse_request_head(text.as_bytes(), CLIENT_METHODS).unwrap_err(), bad, "{text:.60}");
+    for (text, error) in cases {
+        assert_eq!(parse_request_head(text.as_bytes(), CLIENT_METHODS).unwrap_err(), error, "{text:.60}");
     }
 }
 
 #[test]
-fn an_answer_that_lasts_to_the_end_is_passed_on_with_its_length() {
+fn close_delimited_response_is_forwarded_with_its_length() {
     let text =
         b"HTTP/1.0 200 OK\r\nKeep-Alive: 3\r\nServer-Load: TEXT inflight=7, queue=2, util=0.6\r\n\r\nbody";
     let mut head = parse_response_head(text).unwrap().unwrap();
     assert_eq!(head.body.parse_buffered(&text[head.length..], false, MAX_BUFFERED_BODY_BYTES), Ok(None));
     assert_eq!(head.body.parse_buffered(&text[head.length..], true, MAX_BUFFERED_BODY_BYTES), Ok(Some(4)));
     assert_eq!((head.load.in_flight, head.load.queued), (Some(7.0), Some(2.0)));
-    let passed = String::from_utf8(head.for_client(text, true)).unwrap();
-    assert!(passed.starts_with("HTTP/1.1 200 OK\r\nServer-Load"), "{passed}");
-    assert!(passed.ends_with("Content-Length: 4\r\nConnection: close\r\n\r\nbody"), "{passed}");
+    let forwarded = String::from_utf8(head.for_client(text, true)).unwrap();
+    assert!(forwarded.starts_with("HTTP/1.1 200 OK\r\nServer-Load"), "{forwarded}");
+    assert!(forwarded.ends_with("Content-Length: 4\r\nConnection: close\r\n\r\nbody"), "{forwarded}");
 }
 
 #[test]
-fn the_answer_to_a_check_bears_its_report_as_its_body() {
+fn load_report_is_read_from_the_body_of_a_check_response() {
     let text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nTEXT inflight=3,\n\r\n0\r\n\r\n";
     let head = parse_response_head(text).unwrap().unwrap();
     assert_eq!(parse_load_report(&head.body_text(text)).in_flight, Some(3.0));
 }
 
 #[test]
-fn a_report_that_makes_no_sense_says_nothing() {
+fn invalid_load_report_is_ignored() {
     for report in ["", "TEXT", "TEXT inflight=, queue=NaN", "TEXT inflight=-3,queue=inf", "inflight"] {
         assert_eq!(parse_load_report(report), Default::default(), "{report}");
     }
 }
 
 #[test]
-fn a_key_is_read_from_its_header_or_from_the_further_figures() {
-    let key = |lines: &str| {
-        let text = format!("GET /read HTTP/1.1\r\nHost: h\r\n{lines}\r\n");
+fn key_is_read_from_its_header_or_from_request_info() {
+    let key = |header_lines: &str| {
+        let text = format!("GET /read HTTP/1.1\r\nHost: h\r\n{header_lines}\r\n");
         parse_request_head(text.as_bytes(), CLIENT_METHODS).map(|head| head.unwrap().key)
     };
     let (a, b) = (key("Request-Key: a\r\n").unwrap(), key("Request-Key: b\r\n").unwrap());
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! When backends started, by stamps of wall clocks that step.
+//! Start times of backends, corrected where the wall clock that stamped them is wrong.
 
 mod helper;
 
@@ -17,60 +17,65 @@
     Time::from_ms(1e12 + seconds * 1000.0)
 }
 
-/// How the start of a backend is judged in a list that names it alone.
-fn judged(starts: &mut StartTimes, host: &str, stamp: Time, now: Time) -> Time {
+/// The corrected start time of a backend after a list with only this backend.
+fn corrected_start(starts: &mut StartTimes, host: &str, timestamp: Time, now: Time) -> Time {
     let listing = Listing {
         backend: backend_id(host),
         zone: ZoneId(0),
         pod: PodId(0),
         condition: Condition::Ready,
-        started: Some(stamp),
+        started: Some(timestamp),
         size: 1.0,
     };
-    let dial = "127.0.0.1:1".parse().unwrap();
-    let entry = BackendEntry { host: host.to_string(), address: dial, listed_start: Some(stamp), listing };
+    let address = "127.0.0.1:1".parse().unwrap();
+    let entry =
+        BackendEntry { host: host.to_string(), address: address, listed_start: Some(timestamp), listing };
     let mut list = BackendList { version: 1, full: false, entries: vec![entry] };
     starts.correct(&mut list, now);
     list.entries[0].listing.started.unwrap()
 }
 
 #[test]
-fn a_stamp_that_fits_what_was_heard_is_believed() {
+fn plausible_start_time_is_kept() {
     let mut starts = StartTimes::default();
-    assert_eq!(judged(&mut starts, "old", at(-9_000.0), at(0.0)), at(-9_000.0));
-    assert_eq!(judged(&mut starts, "new", at(7.0), at(9.0)), at(7.0));
-    assert_eq!(judged(&mut starts, "slow", at(-20.0), at(10.0)), at(-20.0), "it took long to come up");
-    assert_eq!(judged(&mut starts, "old", at(11.0), at(12.0)), at(11.0), "it was started anew");
+    assert_eq!(corrected_start(&mut starts, "old", at(-9_000.0), at(0.0)), at(-9_000.0));
+    assert_eq!(corrected_start(&mut starts, "new", at(7.0), at(9.0)), at(7.0));
+    assert_eq!(
+        corrected_start(&mut starts, "slow", at(-20.0), at(10.0)),
+        at(-20.0),
+        "it took long to start up"
+    );
+    assert_eq!(corrected_start(&mut starts, "old", at(11.0), at(12.0)), at(11.0), "it was restarted");
     assert_eq!(starts.corrected, 0);
 }
 
 #[test]
-fn a_stamp_of_the_future_is_a_start_of_now_and_stays_it() {
+fn start_time_in_the_future_is_replaced_by_the_time_of_the_first_listing() {
     let mut starts = StartTimes::default();
-    assert_eq!(judged(&mut starts, "a", at(1.0) + HOUR, at(2.0)), at(2.0));
-    assert_eq!(judged(&mut starts, "a", at(1.0) + HOUR, at(5.0)), at(2.0));
+    assert_eq!(corrected_start(&mut starts, "a", at(1.0) + HOUR, at(2.0)), at(2.0));
+    assert_eq!(corrected_start(&mut starts, "a", at(1.0) + HOUR, at(5.0)), at(2.0));
     assert_eq!(starts.corrected, 1);
 }
 
 #[test]
-fn a_process_cannot_have_started_before_its_earlier_one_was_named() {
+fn restarted_backend_did_not_start_before_its_predecessor_was_last_listed() {
     let mut starts = StartTimes::default();
-    judged(&mut starts, "a", at(-9_000.0), at(0.0));
-    judged(&mut starts, "a", at(-9_000.0), at(50.0));
-    assert_eq!(judged(&mut starts, "a", at(55.0) - HOUR, at(60.0)), at(50.0));
+    corrected_start(&mut starts, "a", at(-9_000.0), at(0.0));
+    corrected_start(&mut starts, "a", at(-9_000.0), at(50.0));
+    assert_eq!(corrected_start(&mut starts, "a", at(55.0) - HOUR, at(60.0)), at(50.0));
     assert_eq!(starts.corrected, 1);
 }
 
 #[test]
-fn a_backend_that_no_list_named_an_hour_long_did_not_start_an_hour_ago() {
+fn newly_listed_backend_did_not_start_before_the_previous_list() {
     let mut starts = StartTimes::default();
-    judged(&mut starts, "a", at(-9_000.0), at(100.0));
-    assert_eq!(judged(&mut starts, "b", at(101.0) - HOUR, at(102.0)), at(100.0));
+    corrected_start(&mut starts, "a", at(-9_000.0), at(100.0));
+    assert_eq!(corrected_start(&mut starts, "b", at(101.0) - HOUR, at(102.0)), at(100.0));
 }
 
-/// Guards against a list that shrinks holding up the loop: what is forgotten goes at once.
+/// Guards against a shrinking list that blocks the loop: all removed backends are forgotten in one pass.
 #[test]
-fn what_is_known_of_many_backends_is_forgotten_at_once() {
+fn many_removed_backends_are_forgotten_quickly() {
     let mut starts = StartTimes::default();
     let entry = |number: usize| {
         let host = format!("h{number}");
@@ -92,21 +97,23 @@
     assert!(start.elapsed() < std::time::Duration::from_millis(500), "took {:?}", start.elapsed());
 }
 
-/// Guards against pushing over a backend whose clock is an hour off: it has just started, whatever its stamp says.
+/// Guards against overloading a backend whose clock is an hour off: it has just started, whatever its
+/// timestamp says.
 #[test]
-fn a_running_proxy_does_not_believe_a_stamp_an_hour_off() {
+fn proxy_corrects_a_start_time_that_is_an_hour_off() {
     for (offset, corrected) in [(-3_600_000_i64, 1), (3_600_000, 1), (-500, 0)] {
         let listener = backend();
         let proxy = Proxy::start_managed(&[&listener], "127.0.0.1:0", &[]);
-        let mut call = accept(&proxy.discovery);
-        read_message(&mut call);
+        let mut list_request = accept(&proxy.discovery);
+        read_message(&mut list_request);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as i64;
-        let (dial, born) = (listener.local_addr().unwrap(), now + offset);
-        let host = format!(r#"{{"host":"h1","dial":"{dial}","site":"a","health":"Ready","born_ms":{born}}}"#);
+        let (address, born_ms) = (listener.local_addr().unwrap(), now + offset);
+        let host =
+            format!(r#"{{"host":"h1","dial":"{address}","site":"a","health":"Ready","born_ms":{born_ms}}}"#);
         let list = format!(r#"{{"seq":5,"whole":false,"hosts":[{host}]}}"#);
-        write(&mut call, &response("200 OK", "", &list));
-        assert!(read_message(&mut call).contains("index=5"), "the list is heard");
-        let figure = proxy.metric("svc.start_times_corrected");
-        assert_eq!(figure, Some(corrected), "a stamp {offset} ms off");
+        write(&mut list_request, &response("200 OK", "", &list));
+        assert!(read_message(&mut list_request).contains("index=5"), "the list is applied");
+        let corrections = proxy.metric("svc.start_times_corrected");
+        assert_eq!(corrections, Some(corrected), "a timestamp {offset} ms off");
     }
 }
--- a/crates/proxy/tests/tenant_quotas.rs
+++ b/crates/proxy/tests/tenant_quotas.rs
@@ -1,4 +1,4 @@
-//! Shares of tenants: what one sends beyond its own gives way to what others send within theirs.
+//! Quotas of tenants: a queued request over its tenant's quota yields to those within their tenants' quotas.
 
 mod helper;
 
@@ -6,42 +6,47 @@
     accept, backend, counter, read_message, request, response, send_request, settings, write, Proxy,
 };
 
-fn of(tenant: &str) -> String {
+fn tenant_request(tenant: &str) -> String {
     request("GET", "/read", "30").replace("Connection: close\r\n", &format!("Tenant: {tenant}\r\n"))
 }
 
-/// Which tenant's request goes on when a place falls free: one of `floods`, which came first, or one of `waits`.
-fn next(floods: &str, waits: &str) -> String {
+/// The tenant of the request that is dispatched first when an attempt ends: `first`, whose request was queued
+/// first and which fills the concurrency limit, or `second`.
+fn dispatched_tenant(first: &str, second: &str) -> String {
     let tenants =
         r#""tenants":[{"name":"loud","allowancePerS":0.4},{"name":"mild","allowancePerS":1000}],"zones""#;
     let settings = settings(20_000, "").replace(r#""zones""#, tenants);
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings);
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for _ in 0..4 {
-        let client = send_request(&proxy, &of(floods));
+        let client = send_request(&proxy, &tenant_request(first));
         let mut conn = accept(&backend);
         read_message(&mut conn);
-        out.push((client, conn));
+        in_flight.push((client, conn));
     }
-    let _first = send_request(&proxy, &of(floods));
+    let _first_client = send_request(&proxy, &tenant_request(first));
     while counter(&proxy, "taken") < 5 {}
-    let _second = send_request(&proxy, &of(waits));
+    let _second_client = send_request(&proxy, &tenant_request(second));
     while counter(&proxy, "taken") < 6 {}
-    assert_eq!(counter(&proxy, "forwards"), 4, "two wait");
-    write(&mut out[0].1, &response("200 OK", "Connection: close\r\n", "fine"));
+    assert_eq!(counter(&proxy, "forwards"), 4, "two requests are queued");
+    write(&mut in_flight[0].1, &response("200 OK", "Connection: close\r\n", "fine"));
     let text = read_message(&mut accept(&backend));
     text.lines().find_map(|line| line.strip_prefix("Tenant: ")).unwrap().to_string()
 }
 
 #[test]
-fn what_lies_within_a_share_goes_before_what_lies_beyond_another() {
-    assert_eq!(next("loud", "mild"), "mild");
-    assert_eq!(next("stranger", "mild"), "mild", "a name that nobody has is no way round");
+fn request_within_its_quota_precedes_one_over_quota() {
+    assert_eq!(dispatched_tenant("loud", "mild"), "mild");
+    assert_eq!(
+        dispatched_tenant("stranger", "mild"),
+        "mild",
+        "a request of an unknown tenant does not bypass the quotas"
+    );
 }
 
 #[test]
-fn within_a_share_the_order_is_that_of_their_coming() {
-    assert_eq!(next("mild", "mild"), "mild");
-    assert_eq!(next("mild", "loud"), "mild");
+fn requests_within_their_quota_keep_the_order_of_arrival() {
+    assert_eq!(dispatched_tenant("mild", "mild"), "mild");
+    assert_eq!(dispatched_tenant("mild", "loud"), "mild");
 }
