--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -1,5 +1,5 @@
-//! `sparlug demo`: a small deployment on loopback for a newcomer, with a live table and faults at the press of a
-//! key.
+//! `sparlug demo`: runs a small deployment on loopback, shows a live table of its requests and injects faults
+//! on key presses.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -17,17 +17,17 @@
 use sparlug_lab::source::Source;
 use sparlug_lab::world::{self, Options};
 
-use crate::lab::{failed, interrupted, own_program};
-use crate::Failed;
+use crate::lab::{command_error, current_program, install_stop_flag};
+use crate::CommandError;
 
 const SCENARIO: &str = include_str!("demo.toml");
-const EVERY: Duration = Duration::from_secs(1);
+const TABLE_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Args)]
 pub struct Demo {
     /// How long it goes on, such as 5s; without it until Ctrl-C or q
     #[arg(long = "for", value_name = "SPAN")]
-    lasts: Option<Micros>,
+    duration: Option<Micros>,
     /// Where the proxy listens
     #[arg(long, default_value = "127.0.0.1:8080")]
     listen: SocketAddr,
@@ -42,38 +42,43 @@
     fault: Option<String>,
 }
 
-/// What the table shows, gathered from the records as they are written.
+/// Figures of the live table, updated from the lab's records as they are written.
 #[derive(Default)]
-struct Seen {
-    honoured: u64,
-    turned_back: u64,
+struct LiveStats {
+    served: u64,
+    refused: u64,
     failed: u64,
-    took: Vec<u64>,
-    held: BTreeMap<String, i64>,
-    served: BTreeMap<String, u64>,
+    /// Latencies of served requests since the last table, in microseconds.
+    latencies_us: Vec<u64>,
+    /// Requests in flight at each backend.
+    in_flight: BTreeMap<String, i64>,
+    /// Requests that reached each backend since the last table.
+    arrivals: BTreeMap<String, u64>,
+    /// State of each backend and proxy, as text.
     states: BTreeMap<String, String>,
-    /// Whom each proxy sees there, how many it holds dead, and by how many it divides.
+    /// For each proxy: how many members it sees present, how many it considers dead, and the member count by
+    /// which it divides the tier.
     views: BTreeMap<String, (usize, usize, u64)>,
-    total: u64,
+    total_served: u64,
 }
 
-impl Seen {
-    fn enter(&mut self, record: Record) {
+impl LiveStats {
+    fn apply(&mut self, record: Record) {
         let Record { t, part, what } = record;
         match what {
             What::Answered { status: 200, .. } => {
-                self.honoured += 1;
-                self.total += 1;
+                self.served += 1;
+                self.total_served += 1;
             }
-            What::Answered { status: 429 | 503, .. } => self.turned_back += 1,
+            What::Answered { status: 429 | 503, .. } => self.refused += 1,
             What::Answered { .. } | What::Lost { .. } | What::GaveUp { .. } => self.failed += 1,
-            What::Over { due, honoured: true, .. } => self.took.push(t.since(due).0 as u64),
+            What::Over { due, honoured: true, .. } => self.latencies_us.push(t.since(due).0 as u64),
             What::Arrived { .. } => {
-                *self.held.entry(part.clone()).or_default() += 1;
-                *self.served.entry(part).or_default() += 1;
+                *self.in_flight.entry(part.clone()).or_default() += 1;
+                *self.arrivals.entry(part).or_default() += 1;
             }
             What::Refused { .. } | What::Done { .. } | What::Dropped { .. } => {
-                *self.held.entry(part).or_default() -= 1;
+                *self.in_flight.entry(part).or_default() -= 1;
             }
             What::View { proxy, there, dead, counted } => {
                 self.views.insert(proxy, (there.len(), dead.len(), counted));
@@ -88,7 +93,7 @@
                 self.states.insert(part, state.to_string());
             }
             What::Stopped { how } => {
-                self.held.insert(part.clone(), 0);
+                self.in_flight.insert(part.clone(), 0);
                 self.states.insert(part, how);
             }
             What::Fault { text, on, .. } => {
@@ -101,85 +106,90 @@
         }
     }
 
+    /// Formats the table and resets the counts that it shows per second.
     fn table(&mut self, seconds: u64) -> String {
-        let mut took = outcome::histogram();
-        self.took.drain(..).for_each(|us| took.record(us.max(1)).unwrap_or_default());
-        let ms = |q| took.value_at_quantile(q) as f64 / 1000.0;
-        let (p50, p99) = (ms(0.5), ms(0.99));
-        let mut out = format!(
+        let mut histogram = outcome::histogram();
+        self.latencies_us.drain(..).for_each(|us| histogram.record(us.max(1)).unwrap_or_default());
+        let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+        let (p50, p99) = (quantile_ms(0.5), quantile_ms(0.99));
+        let mut output = format!(
             "{seconds:>4} s   honoured {:>4}/s   turned back {:>3}/s   failed {:>3}/s   p50 {p50:>5.1} ms   p99 {p99:>5.1} ms\n",
-            self.honoured, self.turned_back, self.failed
+            self.served, self.refused, self.failed
         );
         for (host, state) in self.states.iter().filter(|(host, _)| host.contains("/s-")) {
-            let held = self.held.get(host).copied().unwrap_or(0).max(0);
-            let served = self.served.get(host).copied().unwrap_or(0);
-            out += &format!("      {host:<10} {held:>3} in flight {served:>4}/s   {state}\n");
+            let in_flight = self.in_flight.get(host).copied().unwrap_or(0).max(0);
+            let arrivals = self.arrivals.get(host).copied().unwrap_or(0);
+            output += &format!("      {host:<10} {in_flight:>3} in flight {arrivals:>4}/s   {state}\n");
         }
         if !self.views.is_empty() {
             for (proxy, state) in self.states.iter().filter(|(name, _)| name.contains("/p-")) {
-                let seen =
-                    self.views.get(proxy).map_or("sees nobody yet".to_string(), |(there, dead, counted)| {
-                        format!("sees {there} there, {dead} dead, divides by {counted}")
-                    });
-                out += &format!("      {proxy:<10} {state:<6} {seen}\n");
+                let view = self.views.get(proxy).map_or(
+                    "sees nobody yet".to_string(),
+                    |(present, dead, member_count)| {
+                        format!("sees {present} there, {dead} dead, divides by {member_count}")
+                    },
+                );
+                output += &format!("      {proxy:<10} {state:<6} {view}\n");
             }
         }
-        (self.honoured, self.turned_back, self.failed) = (0, 0, 0);
-        self.served.clear();
-        out
+        (self.served, self.refused, self.failed) = (0, 0, 0);
+        self.arrivals.clear();
+        output
     }
 }
 
-/// Reads what was added to a file of records since the last look.
-struct Tail {
+/// Follows a file of records: each call reads the lines appended since the previous one.
+struct RecordTail {
     reader: Option<BufReader<File>>,
-    half: String,
+    /// A line whose end is not written yet.
+    partial_line: String,
 }
 
-impl Tail {
-    fn read(&mut self, path: &Path, seen: &mut Seen) {
+impl RecordTail {
+    fn read(&mut self, path: &Path, stats: &mut LiveStats) {
         if self.reader.is_none() {
             self.reader = File::open(path).ok().map(BufReader::new);
         }
         let Some(reader) = &mut self.reader else { return };
-        while reader.read_line(&mut self.half).is_ok_and(|read| read > 0) {
-            if !self.half.ends_with('\n') {
+        while reader.read_line(&mut self.partial_line).is_ok_and(|read| read > 0) {
+            if !self.partial_line.ends_with('\n') {
                 break;
             }
-            if let Ok(record) = serde_json::from_str(&self.half) {
-                seen.enter(record);
+            if let Ok(record) = serde_json::from_str(&self.partial_line) {
+                stats.apply(record);
             }
-            self.half.clear();
+            self.partial_line.clear();
         }
     }
 }
 
-/// The fault behind a key, at a backend or the proxy.
-fn fault(key: &str, count: usize) -> Option<Fault> {
-    let backend = format!("demo/s-{}", count % 4);
-    let (part, kind, lasts) = match key {
+/// The fault for a key or a fault's name; `injected_count` spreads the faults over the four backends.
+fn fault_for_key(key: &str, injected_count: usize) -> Option<Fault> {
+    let backend = format!("demo/s-{}", injected_count % 4);
+    let (component, kind, duration_ms) = match key {
         "c" | "crash" => (backend, "crash", 3000),
         "s" | "stall" => (backend, "stall", 2000),
         "d" | "drain" => (backend, "drain", 4000),
         "k" | "kill" => ("demo/p-0".to_string(), "kill", 500),
         _ => return None,
     };
-    Fault::now(&part, kind, Micros::from_millis(lasts))
+    Fault::now(&component, kind, Micros::from_millis(duration_ms))
 }
 
-fn hear_keys(to: Sender<Fault>, first: usize) {
+/// Reads keys from standard input on a thread of its own and sends their faults; `q` raises SIGINT.
+fn read_keys(faults: Sender<Fault>, first_count: usize) {
     std::thread::spawn(move || {
-        let mut count = first;
+        let mut injected_count = first_count;
         for line in std::io::stdin().lines().map_while(Result::ok) {
             let key = line.trim();
             if key == "q" {
                 let _ = signal_hook::low_level::raise(signal_hook::consts::SIGINT);
                 return;
             }
-            match fault(key, count) {
+            match fault_for_key(key, injected_count) {
                 Some(fault) => {
-                    count += 1;
-                    if to.send(fault).is_err() {
+                    injected_count += 1;
+                    if faults.send(fault).is_err() {
                         return;
                     }
                 }
@@ -190,47 +200,55 @@
 }
 
 impl Demo {
-    pub fn run(self) -> Result<(), Failed> {
+    pub fn run(self) -> Result<(), CommandError> {
         let mut source =
-            Source::of(Path::new("demo.toml"), SCENARIO.to_string()).map_err(Failed::could_not)?;
-        let lasts = self.lasts.unwrap_or(Micros::from_millis(3_600_000));
-        if lasts < Micros::from_millis(1000) || !(0.1..=5000.0).contains(&self.rate) {
-            return Err(Failed::unusable("wanted --for of at least 1s and --rate from 0.1 to 5000"));
+            Source::of(Path::new("demo.toml"), SCENARIO.to_string()).map_err(CommandError::failure)?;
+        let duration = self.duration.unwrap_or(Micros::from_millis(3_600_000));
+        if duration < Micros::from_millis(1000) || !(0.1..=5000.0).contains(&self.rate) {
+            return Err(CommandError::usage("--for must be at least 1s and --rate between 0.1 and 5000"));
         }
-        let sets =
-            [format!("lasts=\"{lasts}\""), "short=\"1s\"".to_string(), format!("load.rate={:?}", self.rate)];
-        let fleet = [
+        let settings = [
+            format!("lasts=\"{duration}\""),
+            "short=\"1s\"".to_string(),
+            format!("load.rate={:?}", self.rate),
+        ];
+        let fleet_settings = [
             format!("tier.0.proxies={}", self.proxies),
             "tier.0.fleet={members=true, talk=false}".to_string(),
         ];
-        let fleet = fleet.iter().filter(|_| self.proxies > 1);
-        fleet.chain(&sets).try_for_each(|set| source.set(set)).map_err(Failed::could_not)?;
-        let scenario = source.scenario(None, false).map_err(Failed::could_not)?;
-        let (to, injected): (Sender<Fault>, Receiver<Fault>) = channel();
-        let mut later = match &self.fault {
+        let fleet_settings = fleet_settings.iter().filter(|_| self.proxies > 1);
+        fleet_settings
+            .chain(&settings)
+            .try_for_each(|setting| source.set(setting))
+            .map_err(CommandError::failure)?;
+        let scenario = source.scenario(None, false).map_err(CommandError::failure)?;
+        let (fault_sender, fault_receiver): (Sender<Fault>, Receiver<Fault>) = channel();
+        let mut pending_fault = match &self.fault {
             None => None,
             Some(name) => {
-                let found = fault(name, 1).ok_or_else(|| {
-                    Failed::unusable(format!("--fault {name}: wanted crash, stall, drain or kill"))
+                let fault = fault_for_key(name, 1).ok_or_else(|| {
+                    CommandError::usage(format!("--fault {name}: expected crash, stall, drain or kill"))
                 })?;
-                Some(found)
+                Some(fault)
             }
         };
-        let stop = interrupted()?;
+        let stop = install_stop_flag()?;
         let dir = std::env::temp_dir().join(format!("sparlug-demo-{}", std::process::id()));
-        let options = Options { program: own_program()?, dir: dir.clone(), stop, front: Some(self.listen) };
-        let terminal = std::io::stdout().is_terminal();
+        let options =
+            Options { program: current_program()?, dir: dir.clone(), stop, front: Some(self.listen) };
+        let is_terminal = std::io::stdout().is_terminal();
         if std::io::stdin().is_terminal() {
-            hear_keys(to.clone(), 2);
+            read_keys(fault_sender.clone(), 2);
         }
-        let (mut seen, mut tail) = (Seen::default(), Tail { reader: None, half: String::new() });
-        let records = world::records_of(&dir);
-        let (mut shown, mut lines, mut began) = (Instant::now(), 0, None);
+        let (mut stats, mut tail) =
+            (LiveStats::default(), RecordTail { reader: None, partial_line: String::new() });
+        let records_path = world::records_of(&dir);
+        let (mut last_shown, mut table_lines, mut started_at) = (Instant::now(), 0, None);
         let mut progress = |_: f64| {
-            tail.read(&records, &mut seen);
-            if began.is_none() {
-                began = Some(At::now());
-                shown = Instant::now();
+            tail.read(&records_path, &mut stats);
+            if started_at.is_none() {
+                started_at = Some(At::now());
+                last_shown = Instant::now();
                 println!("A proxy before four backends serves on {}. Ask it:\n", self.listen);
                 println!("  curl -H \"Request-Id: $RANDOM$RANDOM\" http://{}/check-free", self.listen);
                 println!(
@@ -241,34 +259,35 @@
                     println!("Keys, with Enter: c crash a backend, s stall one, d drain one, k kill the proxy, q quit\n");
                 }
             }
-            let since = began.map_or(Micros::ZERO, |began| At::now().since(began));
-            if since > Micros::from_millis(3000) {
-                if let Some(fault) = later.take() {
-                    let _ = to.send(fault);
+            let elapsed = started_at.map_or(Micros::ZERO, |started_at| At::now().since(started_at));
+            if elapsed > Micros::from_millis(3000) {
+                if let Some(fault) = pending_fault.take() {
+                    let _ = fault_sender.send(fault);
                 }
             }
-            if shown.elapsed() >= EVERY {
-                shown = Instant::now();
-                let table = seen.table(since.0 as u64 / 1_000_000);
-                if terminal && lines > 0 {
-                    print!("\x1b[{lines}A\x1b[J");
+            if last_shown.elapsed() >= TABLE_INTERVAL {
+                last_shown = Instant::now();
+                let table = stats.table(elapsed.0 as u64 / 1_000_000);
+                if is_terminal && table_lines > 0 {
+                    print!("\x1b[{table_lines}A\x1b[J");
                 }
-                lines = table.lines().count();
+                table_lines = table.lines().count();
                 print!("{table}");
                 let _ = std::io::stdout().flush();
             }
         };
-        let ran = world::run_with(&scenario, scenario.seed, &options, Some(&injected), &mut progress);
-        tail.read(&records, &mut seen);
+        let result =
+            world::run_with(&scenario, scenario.seed, &options, Some(&fault_receiver), &mut progress);
+        tail.read(&records_path, &mut stats);
         let _ = std::fs::remove_dir_all(&dir);
-        match ran {
+        match result {
             Ok(_) => {}
-            Err(world::Failure::Interrupted) if seen.total > 0 => {}
-            Err(failure) => return Err(failed(failure)),
+            Err(world::Failure::Interrupted) if stats.total_served > 0 => {}
+            Err(failure) => return Err(command_error(failure)),
         }
-        println!("served {} requests", seen.total);
-        if seen.total == 0 {
-            return Err(Failed::could_not("nothing was served"));
+        println!("served {} requests", stats.total_served);
+        if stats.total_served == 0 {
+            return Err(CommandError::failure("no request was served"));
         }
         Ok(())
     }
--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -1,4 +1,5 @@
-//! `sparlug fleet`: asks proxies at their operators' addresses who is there, and sets their answers beside each other.
+//! `sparlug fleet`: reads the fleet status of several proxies over their management addresses and compares
+//! their views of members and duties; pauses and resumes duties on one proxy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -8,9 +9,10 @@
 use clap::{Subcommand, ValueEnum};
 use serde_json::Value;
 
-use crate::Failed;
+use crate::CommandError;
 
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Limit for connecting to a proxy, and for each read of its response.
+const PROXY_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Subcommand)]
 pub enum Fleet {
@@ -24,61 +26,68 @@
     Duty {
         /// The proxy's operators' address
         address: SocketAddr,
-        #[arg(value_enum)]
-        what: What,
+        #[arg(id = "what", value_name = "WHAT", value_enum)]
+        action: DutyAction,
         /// The duty's name
         duty: String,
     },
 }
 
+/// What `sparlug fleet duty` does with a duty.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum What {
+pub enum DutyAction {
     Pause,
     Resume,
 }
 
-/// One proxy's answer.
-struct View {
+/// The fleet as one proxy reports it.
+struct ProxyView {
     address: SocketAddr,
     name: String,
+    /// State of each member, by the member's name.
     states: BTreeMap<String, String>,
-    /// Of each duty: whether it is held there, under which term, and who is said to hold it.
+    /// For each duty: whether this proxy holds it, the term, and the holder that the proxy knows of.
     duties: BTreeMap<String, (bool, u64, Option<String>)>,
+    /// The proxy's row in the printed overview.
     line: String,
 }
 
-/// One call; the body of an answer of 200.
-fn call(address: SocketAddr, call: &str) -> Result<String, String> {
-    let fail = |e: std::io::Error| format!("{address}: no answer: {e}");
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(fail)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(fail)?;
-    stream.write_all(format!("{call} HTTP/1.1\r\nHost: fleet\r\n\r\n").as_bytes()).map_err(fail)?;
-    let mut text = String::new();
-    stream.read_to_string(&mut text).map_err(fail)?;
+/// Sends one HTTP request and returns the body of the response; any status but 200 is an error.
+fn http_request(address: SocketAddr, request_line: &str) -> Result<String, String> {
+    let connection_error = |e: std::io::Error| format!("{address}: no answer: {e}");
+    let mut stream = TcpStream::connect_timeout(&address, PROXY_TIMEOUT).map_err(connection_error)?;
+    stream.set_read_timeout(Some(PROXY_TIMEOUT)).map_err(connection_error)?;
+    stream
+        .write_all(format!("{request_line} HTTP/1.1\r\nHost: fleet\r\n\r\n").as_bytes())
+        .map_err(connection_error)?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).map_err(connection_error)?;
     let (head, body) =
-        text.split_once("\r\n\r\n").ok_or_else(|| format!("{address}: no answer that can be read"))?;
+        response.split_once("\r\n\r\n").ok_or_else(|| format!("{address}: no answer that can be read"))?;
     if !head.starts_with("HTTP/1.1 200") {
         return Err(format!("{address}: {}", body.trim()));
     }
     Ok(body.to_string())
 }
 
-fn ask(address: SocketAddr) -> Result<View, String> {
-    let body = call(address, "GET /fleet")?;
+/// Fetches and parses a proxy's view of the fleet.
+fn fetch_view(address: SocketAddr) -> Result<ProxyView, String> {
+    let body = http_request(address, "GET /fleet")?;
     let json: Value =
         serde_json::from_str(&body).map_err(|e| format!("{address}: no answer that can be read: {e}"))?;
-    let text = |value: &Value, field: &str| value[field].as_str().unwrap_or_default().to_string();
+    let string_field = |value: &Value, field: &str| value[field].as_str().unwrap_or_default().to_string();
     let members = json["members"].as_array().cloned().unwrap_or_default();
-    let states = members.iter().map(|member| (text(member, "name"), text(member, "state"))).collect();
+    let states =
+        members.iter().map(|member| (string_field(member, "name"), string_field(member, "state"))).collect();
     let duties = json["duties"].as_array().cloned().unwrap_or_default();
-    let held = |duty: &Value| {
+    let parse_duty = |duty: &Value| {
         let holder = duty["holder"].as_str().map(str::to_string);
-        (text(duty, "name"), (duty["held_here"] == true, duty["term"].as_u64().unwrap_or(0), holder))
+        (string_field(duty, "name"), (duty["held_here"] == true, duty["term"].as_u64().unwrap_or(0), holder))
     };
-    let duties = duties.iter().map(held).collect();
+    let duties = duties.iter().map(parse_duty).collect();
     let line = format!(
         "{:<24} {:<20} {:>5} of {:>4}  {:<8} divides by {:>4}{}",
-        text(&json, "self"),
+        string_field(&json, "self"),
         address.to_string(),
         json["alive"],
         json["expected"],
@@ -86,87 +95,97 @@
         json["counted"],
         if json["kept_out"] == true { "  KEPT OUT" } else { "" },
     );
-    Ok(View { address, name: text(&json, "self"), states, duties, line })
+    Ok(ProxyView { address, name: string_field(&json, "self"), states, duties, line })
 }
 
 impl Fleet {
-    pub fn run(self) -> Result<(), Failed> {
+    pub fn run(self) -> Result<(), CommandError> {
         let addresses = match self {
             Fleet::Status { addresses } => addresses,
-            Fleet::Duty { address, what, duty } => {
-                let what = if matches!(what, What::Pause) { "pause" } else { "resume" };
-                let done = call(address, &format!("PUT /fleet/duties/{what}/{duty}"));
-                return done.map(|_| ()).map_err(Failed::could_not);
+            Fleet::Duty { address, action, duty } => {
+                let action = if matches!(action, DutyAction::Pause) { "pause" } else { "resume" };
+                let result = http_request(address, &format!("PUT /fleet/duties/{action}/{duty}"));
+                return result.map(|_| ()).map_err(CommandError::failure);
             }
         };
-        let answers: Vec<_> = std::thread::scope(|scope| {
+        let results: Vec<_> = std::thread::scope(|scope| {
             let threads: Vec<_> =
-                addresses.iter().map(|address| scope.spawn(move || ask(*address))).collect();
+                addresses.iter().map(|address| scope.spawn(move || fetch_view(*address))).collect();
             threads.into_iter().map(|thread| thread.join()).collect()
         });
-        let (mut views, mut silent) = (Vec::new(), Vec::new());
-        for answer in answers {
-            match answer.unwrap_or_else(|_| Err("an asker panicked".to_string())) {
+        let (mut views, mut failures) = (Vec::new(), Vec::new());
+        for result in results {
+            match result.unwrap_or_else(|_| Err("an asker panicked".to_string())) {
                 Ok(view) => views.push(view),
-                Err(why) => silent.push(why),
+                Err(reason) => failures.push(reason),
             }
         }
         views.iter().for_each(|view| println!("{}", view.line));
-        let (table, differ) = table(&views);
-        print!("\n{table}{}", held(&views));
-        silent.iter().for_each(|why| println!("{why}"));
-        match (differ, silent.len()) {
+        let (table, disagreements) = member_table(&views);
+        print!("\n{table}{}", duty_table(&views));
+        failures.iter().for_each(|reason| println!("{reason}"));
+        match (disagreements, failures.len()) {
             (0, 0) => Ok(()),
-            (0, silent) => Err(Failed::could_not(format!("{silent} of {} gave no answer", addresses.len()))),
-            (differ, _) => Err(Failed::could_not(format!("views differ on {differ} members"))),
+            (0, failures) => {
+                Err(CommandError::failure(format!("{failures} of {} gave no answer", addresses.len())))
+            }
+            (disagreements, _) => {
+                Err(CommandError::failure(format!("views differ on {disagreements} members")))
+            }
         }
     }
 }
 
-/// Members by viewers; a row on which they disagree bears a mark.
-fn table(views: &[View]) -> (String, usize) {
+/// A table with a row per member and a column per proxy, and the number of members on which the proxies
+/// disagree; their rows are marked.
+fn member_table(views: &[ProxyView]) -> (String, usize) {
     let names: BTreeSet<&String> = views.iter().flat_map(|view| view.states.keys()).collect();
-    let mut out = format!("{:<24}", "member");
-    views.iter().for_each(|view| out += &format!(" {:>10}", short(&view.name, view.address)));
-    out.push('\n');
-    let mut differ = 0;
+    let mut output = format!("{:<24}", "member");
+    views.iter().for_each(|view| output += &format!(" {:>10}", short_name(&view.name, view.address)));
+    output.push('\n');
+    let mut disagreements = 0;
     for name in names {
         let states: Vec<&str> =
             views.iter().map(|view| view.states.get(name).map_or("-", String::as_str)).collect();
-        let there = |state: &&str| matches!(*state, "alive" | "suspect");
-        let mixed = states.iter().any(there) && !states.iter().all(there);
-        differ += usize::from(mixed);
-        out += &format!("{name:<24}");
-        states.iter().for_each(|state| out += &format!(" {state:>10}"));
-        out += if mixed { "  <- they disagree\n" } else { "\n" };
+        let is_present = |state: &&str| matches!(*state, "alive" | "suspect");
+        let views_differ = states.iter().any(is_present) && !states.iter().all(is_present);
+        disagreements += usize::from(views_differ);
+        output += &format!("{name:<24}");
+        states.iter().for_each(|state| output += &format!(" {state:>10}"));
+        output += if views_differ { "  <- they disagree\n" } else { "\n" };
     }
-    (out, differ)
+    (output, disagreements)
 }
 
-/// Duties with those that hold them, and with who others say does where nobody that was asked holds them.
-fn held(views: &[View]) -> String {
+/// One line per duty with the proxies that hold it; where none of the queried proxies does, the holder that
+/// they report.
+fn duty_table(views: &[ProxyView]) -> String {
     let names: BTreeSet<&String> = views.iter().flat_map(|view| view.duties.keys()).collect();
-    let mut out = String::new();
+    let mut output = String::new();
     for name in names {
-        let of = |view: &View| view.duties.get(name).cloned();
-        let here = views.iter().filter_map(|view| of(view).filter(|held| held.0).map(|held| (view, held.1)));
-        let here: Vec<String> = here.map(|(view, term)| format!("{} (term {term})", view.name)).collect();
-        let told = views.iter().filter_map(|view| of(view)?.2).next();
-        let by = match here.len() {
-            0 => told.map_or("nobody".to_string(), |name| format!("{name}, as others say")),
-            _ => here.join(", "),
+        let duty_in = |view: &ProxyView| view.duties.get(name).cloned();
+        let held_here =
+            views.iter().filter_map(|view| duty_in(view).filter(|duty| duty.0).map(|duty| (view, duty.1)));
+        let holders: Vec<String> =
+            held_here.map(|(view, term)| format!("{} (term {term})", view.name)).collect();
+        let reported_holder = views.iter().filter_map(|view| duty_in(view)?.2).next();
+        let holder_text = match holders.len() {
+            0 => reported_holder.map_or("nobody".to_string(), |name| format!("{name}, as others say")),
+            _ => holders.join(", "),
         };
-        // The answers were not given at one moment: a change in between shows so, and twice in a row is a fault.
-        let twice = if here.len() > 1 { "  <- HELD BY TWO" } else { "" };
-        out += &format!("duty {name:<20} {by}{twice}\n");
+        // The proxies were not queried at the same instant, so a change of holder in between can look like
+        // two holders; seen in two runs in a row it is a fault.
+        let warning = if holders.len() > 1 { "  <- HELD BY TWO" } else { "" };
+        output += &format!("duty {name:<20} {holder_text}{warning}\n");
     }
-    out
+    output
 }
 
-fn short(name: &str, address: SocketAddr) -> String {
+/// The last ten characters of a proxy's name, or its port if it has no name.
+fn short_name(name: &str, address: SocketAddr) -> String {
     if name.is_empty() {
         return address.port().to_string();
     }
-    let from = name.len().saturating_sub(10);
-    name.get(from..).unwrap_or(name).to_string()
+    let start = name.len().saturating_sub(10);
+    name.get(start..).unwrap_or(name).to_string()
 }
--- a/crates/command/src/hold.rs
+++ b/crates/command/src/hold.rs
@@ -1,4 +1,5 @@
-//! `sparlug lab hold`: becomes another program that ends with the lab that started it, on one core if wanted.
+//! `sparlug lab hold`: replaces itself with another program, which is killed when the lab process that
+//! started it ends, and optionally pins that program to one core.
 
 use std::os::unix::process::CommandExt;
 use std::process::Command;
@@ -6,19 +7,21 @@
 use rustix::process::{set_parent_process_death_signal, Signal};
 use rustix::thread::{sched_setaffinity, CpuSet};
 
-use crate::Failed;
+use crate::CommandError;
 
-pub fn hold(pin: Option<usize>, program: &[String]) -> Result<(), Failed> {
-    // Guards against proxies left running when the lab itself is killed outright.
-    set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| Failed::could_not(e.to_string()))?;
+/// Executes `program` in place of this process, affinity_set to core `pin` if one is given.
+pub fn exec_with_parent(pin: Option<usize>, program: &[String]) -> Result<(), CommandError> {
+    // The kernel kills this process when its parent ends: otherwise proxies keep running after the lab itself
+    // is killed with SIGKILL.
+    set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| CommandError::failure(e.to_string()))?;
     if let Some(pin) = pin {
-        let mut cores = CpuSet::new();
-        cores.set(pin);
-        let pinned = sched_setaffinity(None, &cores);
-        pinned.map_err(|e| Failed::unusable(format!("cannot use core {pin}: {e}")))?;
+        let mut cpu_set = CpuSet::new();
+        cpu_set.set(pin);
+        let affinity_set = sched_setaffinity(None, &cpu_set);
+        affinity_set.map_err(|e| CommandError::usage(format!("cannot use core {pin}: {e}")))?;
     }
     let (program, arguments) =
-        program.split_first().ok_or_else(|| Failed::unusable("wanted a program to become"))?;
-    let e = Command::new(program).args(arguments).exec();
-    Err(Failed::unusable(format!("cannot start {program}: {e}")))
+        program.split_first().ok_or_else(|| CommandError::usage("no program given to run"))?;
+    let error = Command::new(program).args(arguments).exec();
+    Err(CommandError::usage(format!("cannot start {program}: {error}")))
 }
--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -1,4 +1,5 @@
-//! `sparlug lab`: runs experiments, lists them, and shows and compares what came of them.
+//! `sparlug lab`: lists and runs scenarios, searches for schedules of faults that break a rule or a bound,
+//! and reports and compares results.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -15,19 +16,19 @@
 use sparlug_lab::world::Failure;
 use sparlug_lab::{component, report};
 
-use crate::{hold, Failed};
+use crate::{hold, CommandError};
 
 #[derive(Subcommand)]
 pub enum Lab {
     /// Run a scenario's variants and judge the four rules and its bounds
-    Run(Run),
+    Run(RunArguments),
     /// List the scenarios of a folder
     List {
         #[arg(default_value = "lab")]
         folder: PathBuf,
     },
     /// Search for schedules of faults that break a rule or a bound, and cut them down
-    Hunt(Hunt),
+    Hunt(SearchArguments),
     /// Write the page of a run again from the records that --out kept
     Report { out: PathBuf },
     /// Set two JSON results beside each other
@@ -45,7 +46,7 @@
 }
 
 #[derive(Args)]
-pub struct Hunt {
+pub struct SearchArguments {
     /// The scenario whose deployment, load and bounds are kept; its `[hunt]` says what is drawn
     file: PathBuf,
     /// Another seed draws other schedules
@@ -56,7 +57,7 @@
     runs: u64,
     /// How long each lasts, instead of the file's
     #[arg(long = "for", value_name = "TIME")]
-    lasts: Option<Micros>,
+    duration: Option<Micros>,
     /// No run begins after so many seconds
     #[arg(long)]
     seconds: Option<f64>,
@@ -65,7 +66,7 @@
     jobs: Option<usize>,
     /// Change a field, such as load.rate=300 or tier.0.backends=8
     #[arg(long = "set", value_name = "KEY=VALUE")]
-    set: Vec<String>,
+    settings: Vec<String>,
     /// Where the scenarios that were found go; `found` beside the file unless it is given
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
@@ -74,65 +75,70 @@
     quiet: bool,
 }
 
-impl Hunt {
-    fn run(self) -> Result<(), Failed> {
-        let mut source = Source::read(&self.file).map_err(Failed::unusable)?;
-        self.set.iter().try_for_each(|set| source.set(set)).map_err(Failed::unusable)?;
-        if self.lasts.is_some_and(|lasts| lasts < Micros::from_millis(500)) {
-            return Err(Failed::unusable("--for: wanted at least 500ms"));
+impl SearchArguments {
+    fn run(self) -> Result<(), CommandError> {
+        let mut source = Source::read(&self.file).map_err(CommandError::usage)?;
+        self.settings.iter().try_for_each(|setting| source.set(setting)).map_err(CommandError::usage)?;
+        if self.duration.is_some_and(|duration| duration < Micros::from_millis(500)) {
+            return Err(CommandError::usage("--for must be at least 500ms"));
         }
         let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
         let search = Search {
             source,
-            program: own_program()?,
+            program: current_program()?,
             seed: self.seed,
             runs: self.runs,
-            lasts: self.lasts,
+            lasts: self.duration,
             jobs: self.jobs.unwrap_or(cores / 3).clamp(1, 25),
             seconds: self.seconds,
             out: self.out.unwrap_or_else(|| hunt::folder(&self.file)),
-            stop: interrupted()?,
+            stop: install_stop_flag()?,
         };
-        let bar = bar(self.quiet, self.runs);
-        let told = |played: u64, found: usize, doing: &str| {
-            bar.set_position(played);
-            bar.set_message(if doing.is_empty() { format!("{found} found") } else { doing.to_string() });
+        let progress = progress_bar(self.quiet, self.runs);
+        let show_progress = |played: u64, found: usize, activity: &str| {
+            progress.set_position(played);
+            progress.set_message(if activity.is_empty() {
+                format!("{found} found")
+            } else {
+                activity.to_string()
+            });
         };
-        let hunted = search.run(&told);
-        bar.finish_and_clear();
-        let hunted = hunted.map_err(failed)?;
-        for found in &hunted.found {
+        let outcome = search.run(&show_progress);
+        progress.finish_and_clear();
+        let outcome = outcome.map_err(command_error)?;
+        for found in &outcome.found {
             let marks: Vec<&str> = found.marks.iter().map(String::as_str).collect();
-            let (left, drawn, (broke, of)) = (found.faults.len(), found.drawn, found.replayed);
+            let (remaining, drawn, (broken, replays)) = (found.faults.len(), found.drawn, found.replayed);
             println!("schedule {}: breaks {}: {}", found.number, marks.join(", "), found.text);
-            match of {
+            match replays {
                 0 => println!("  {} ({drawn} faults, as drawn)", found.path.display()),
                 _ => println!(
-                    "  {} ({left} of {drawn} faults, broke {broke} times of {of})",
+                    "  {} ({remaining} of {drawn} faults, broke {broken} times of {replays})",
                     found.path.display()
                 ),
             }
         }
         println!(
             "{} schedules played, {} told nothing, {} break",
-            hunted.played,
-            hunted.void,
-            hunted.found.len()
+            outcome.played,
+            outcome.void,
+            outcome.found.len()
         );
-        let ledgers: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
-        let rule = |found: &Found| found.marks.iter().any(|mark| ledgers.contains(&mark.as_str()));
-        match hunted.found.len() {
+        let rule_names: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
+        let breaks_rule = |found: &Found| found.marks.iter().any(|mark| rule_names.contains(&mark.as_str()));
+        match outcome.found.len() {
             0 => Ok(()),
-            n if hunted.found.iter().any(rule) => {
-                Err(Failed { status: 3, text: format!("{n} schedules break") })
-            }
-            n => Err(Failed { status: 4, text: format!("{n} schedules miss a bound") }),
+            count if outcome.found.iter().any(breaks_rule) => Err(CommandError {
+                exit_status: 3,
+                message: format!("{count} schedules break a rule or a bound"),
+            }),
+            count => Err(CommandError { exit_status: 4, message: format!("{count} schedules miss a bound") }),
         }
     }
 }
 
-/// A bar on standard error, where somebody looks at it.
-fn bar(quiet: bool, length: u64) -> ProgressBar {
+/// A progress bar on standard error; hidden with `--quiet` or if standard error is not a terminal.
+fn progress_bar(quiet: bool, length: u64) -> ProgressBar {
     if quiet || !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
@@ -144,7 +150,7 @@
 }
 
 #[derive(Args)]
-pub struct Run {
+pub struct RunArguments {
     /// The scenarios, TOML files; with several, --out and --json name folders
     #[arg(required = true)]
     files: Vec<PathBuf>,
@@ -156,7 +162,7 @@
     seeds: u64,
     /// Change a field, such as load.rate=300 or tier.0.backends=8
     #[arg(long = "set", value_name = "KEY=VALUE")]
-    set: Vec<String>,
+    settings: Vec<String>,
     /// The short form, as CI runs it
     #[arg(long)]
     short: bool,
@@ -171,115 +177,132 @@
     quiet: bool,
 }
 
-/// Set when a signal asks for the end.
-pub fn interrupted() -> Result<Arc<AtomicBool>, Failed> {
+/// Installs handlers of SIGINT and SIGTERM that set the returned flag.
+pub fn install_stop_flag() -> Result<Arc<AtomicBool>, CommandError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        // The second one ends at once.
-        let hear = signal_hook::flag::register_conditional_shutdown(signal, 1, stop.clone())
+        // A second signal ends the process at once, with exit status 1.
+        let installed = signal_hook::flag::register_conditional_shutdown(signal, 1, stop.clone())
             .and_then(|_| signal_hook::flag::register(signal, stop.clone()));
-        hear.map_err(|e| Failed::could_not(format!("cannot hear signals: {e}")))?;
+        installed.map_err(|e| CommandError::failure(format!("cannot install signal handlers: {e}")))?;
     }
     Ok(stop)
 }
 
-pub fn failed(failure: Failure) -> Failed {
+/// Maps a failed run of the lab to an error of the command line.
+pub fn command_error(failure: Failure) -> CommandError {
     match failure {
-        Failure::CouldNot(text) => Failed::could_not(text),
-        Failure::Unusable(text) => Failed::unusable(text),
-        Failure::Interrupted => Failed::could_not("interrupted; nothing is left running"),
+        Failure::CouldNot(message) => CommandError::failure(message),
+        Failure::Unusable(message) => CommandError::usage(message),
+        Failure::Interrupted => {
+            CommandError::failure("interrupted; all processes of the run have been stopped")
+        }
     }
 }
 
-pub fn own_program() -> Result<PathBuf, Failed> {
-    std::env::current_exe().map_err(|e| Failed::could_not(format!("cannot find this program: {e}")))
+/// Path of this executable, which the lab also starts for proxies and for components in processes of their
+/// own.
+pub fn current_program() -> Result<PathBuf, CommandError> {
+    std::env::current_exe().map_err(|e| CommandError::failure(format!("cannot find this program: {e}")))
 }
 
-fn read_results(path: &Path) -> Result<Results, Failed> {
-    let fail = |e: String| Failed::unusable(format!("{}: {e}", path.display()));
-    let text = std::fs::read_to_string(path).map_err(|e| fail(e.to_string()))?;
+fn read_results(path: &Path) -> Result<Results, CommandError> {
+    let invalid_file = |e: String| CommandError::usage(format!("{}: {e}", path.display()));
+    let text = std::fs::read_to_string(path).map_err(|e| invalid_file(e.to_string()))?;
     let results: Results =
-        serde_json::from_str(&text).map_err(|e| fail(format!("no results of a run: {e}")))?;
+        serde_json::from_str(&text).map_err(|e| invalid_file(format!("not the results of a run: {e}")))?;
     if results.schema != experiment::SCHEMA {
-        return Err(fail(format!("schema {}, wanted {}", results.schema, experiment::SCHEMA)));
+        return Err(invalid_file(format!(
+            "results have schema {}, expected {}",
+            results.schema,
+            experiment::SCHEMA
+        )));
     }
     Ok(results)
 }
 
-fn write(path: &Path, bytes: &[u8]) -> Result<(), Failed> {
+fn write(path: &Path, bytes: &[u8]) -> Result<(), CommandError> {
     std::fs::write(path, bytes)
-        .map_err(|e| Failed::could_not(format!("cannot write {}: {e}", path.display())))
+        .map_err(|e| CommandError::failure(format!("cannot write {}: {e}", path.display())))
 }
 
-impl Run {
-    /// Runs all files; a broken rule counts more than what could not be run, and that more than a bound.
-    fn run(&self) -> Result<(), Failed> {
-        let stop = interrupted()?;
-        let mut worst: Option<Failed> = None;
+impl RunArguments {
+    /// Runs all files and reports the errors of all. The exit status is that of the worst: a broken rule (3)
+    /// outranks invalid input (2), that a failed run (1), and that a missed bound (4).
+    fn run(&self) -> Result<(), CommandError> {
+        let stop = install_stop_flag()?;
+        let mut worst: Option<CommandError> = None;
         for file in &self.files {
-            let below = |dir: &PathBuf| match self.files.len() {
+            let path_for_file = |dir: &PathBuf| match self.files.len() {
                 1 => dir.clone(),
                 _ => dir.join(file.file_stem().unwrap_or_default()),
             };
-            let (out, json) = (self.out.as_ref().map(below), self.json.as_ref().map(below));
+            let (out, json) = (self.out.as_ref().map(path_for_file), self.json.as_ref().map(path_for_file));
             let json = json.map(|json| if self.files.len() > 1 { json.with_extension("json") } else { json });
             if let (Some(folder), true) = (json.as_ref().and_then(|json| json.parent()), self.files.len() > 1)
             {
-                let made = std::fs::create_dir_all(folder);
-                made.map_err(|e| Failed::could_not(format!("cannot write to {}: {e}", folder.display())))?;
+                let created = std::fs::create_dir_all(folder);
+                created.map_err(|e| {
+                    CommandError::failure(format!("cannot write to {}: {e}", folder.display()))
+                })?;
             }
-            let rank = |failed: &Failed| [4, 1, 2, 3].iter().position(|status| *status == failed.status);
-            if let Err(failed) = self.one(file, out.as_deref(), json.as_deref(), stop.clone()) {
+            let severity =
+                |error: &CommandError| [4, 1, 2, 3].iter().position(|status| *status == error.exit_status);
+            if let Err(error) = self.run_file(file, out.as_deref(), json.as_deref(), stop.clone()) {
                 if stop.load(std::sync::atomic::Ordering::Relaxed) {
-                    return Err(failed);
+                    return Err(error);
                 }
-                let text = format!("{}: {}", file.display(), failed.text);
-                let failed = Failed { status: failed.status, text };
+                let message = format!("{}: {}", file.display(), error.message);
+                let error = CommandError { exit_status: error.exit_status, message };
                 worst = match worst {
-                    Some(before) if rank(&before) >= rank(&failed) => {
-                        Some(Failed { text: format!("{}\n{}", before.text, failed.text), ..before })
-                    }
-                    Some(before) => {
-                        Some(Failed { text: format!("{}\n{}", before.text, failed.text), ..failed })
-                    }
-                    None => Some(failed),
+                    Some(previous) if severity(&previous) >= severity(&error) => Some(CommandError {
+                        message: format!("{}\n{}", previous.message, error.message),
+                        ..previous
+                    }),
+                    Some(previous) => Some(CommandError {
+                        message: format!("{}\n{}", previous.message, error.message),
+                        ..error
+                    }),
+                    None => Some(error),
                 };
             }
         }
         worst.map_or(Ok(()), Err)
     }
 
-    fn one(
+    /// Runs one scenario file, prints its results and writes the requested files.
+    fn run_file(
         &self,
         file: &Path,
         out: Option<&Path>,
         json: Option<&Path>,
         stop: Arc<AtomicBool>,
-    ) -> Result<(), Failed> {
-        let mut source = Source::read(file).map_err(Failed::unusable)?;
-        self.set.iter().try_for_each(|set| source.set(set)).map_err(Failed::unusable)?;
-        let program = own_program()?;
-        let (seed, seeds, short, kept) = (self.seed, self.seeds, self.short, out.map(Path::to_path_buf));
-        let plan = Plan { source, seed, seeds, short, program, out: kept, stop };
-        let bar = bar(self.quiet, 1000);
-        let runs = plan.run(&mut |done, total, part, variant| {
-            bar.set_message(format!("{} {}/{total}", variant, done + 1));
-            bar.set_position(((done as f64 + part.clamp(0.0, 1.0)) / total as f64 * 1000.0) as u64);
+    ) -> Result<(), CommandError> {
+        let mut source = Source::read(file).map_err(CommandError::usage)?;
+        self.settings.iter().try_for_each(|setting| source.set(setting)).map_err(CommandError::usage)?;
+        let program = current_program()?;
+        let (seed, seeds, short, kept_records) =
+            (self.seed, self.seeds, self.short, out.map(Path::to_path_buf));
+        let plan = Plan { source, seed, seeds, short, program, out: kept_records, stop };
+        let progress = progress_bar(self.quiet, 1000);
+        let runs = plan.run(&mut |done, total, fraction, variant| {
+            progress.set_message(format!("{} {}/{total}", variant, done + 1));
+            progress.set_position(((done as f64 + fraction.clamp(0.0, 1.0)) / total as f64 * 1000.0) as u64);
         });
-        bar.finish_and_clear();
-        let runs = runs.map_err(failed)?;
+        progress.finish_and_clear();
+        let runs = runs.map_err(command_error)?;
         let results = experiment::results(&runs);
         for run in &runs {
-            let beside = if run.lawless { " (a baseline, not judged)" } else { "" };
+            let suffix = if run.lawless { " (a baseline, not judged)" } else { "" };
             if !run.timelines.is_empty() && !run.lawless {
-                println!("{} {}{beside}:", run.variant, run.seed);
+                println!("{} {}{suffix}:", run.variant, run.seed);
                 run.timelines.iter().for_each(|line| println!("  {line}"));
             }
         }
         println!("{}: {}", results.scenario, file.display());
         print!("{}", experiment::table(&results));
         println!("rules_broken: {}", results.rules_broken);
-        let bytes = serde_json::to_vec_pretty(&results).map_err(|e| Failed::could_not(e.to_string()))?;
+        let bytes = serde_json::to_vec_pretty(&results).map_err(|e| CommandError::failure(e.to_string()))?;
         if let Some(path) = json {
             write(path, &bytes)?;
         }
@@ -287,32 +310,37 @@
             write(&out.join("results.json"), &bytes)?;
             let scenario = std::fs::read_to_string(file).unwrap_or_default();
             write(&out.join("scenario.toml"), scenario.as_bytes())?;
-            let page = report::page(&results, &report::pictures(&runs).map_err(Failed::could_not)?);
+            let page = report::page(&results, &report::pictures(&runs).map_err(CommandError::failure)?);
             write(&out.join("report.html"), page.as_bytes())?;
             println!("report: {}", out.join("report.html").display());
         }
         match results.status() {
             0 => Ok(()),
-            1 if results.void => {
-                Err(Failed::could_not("void: what the lab put between proxies was late itself"))
+            1 if results.void => Err(CommandError::failure(
+                "run void: the lab's emulated network between the proxies was itself late",
+            )),
+            3 => Err(CommandError {
+                exit_status: 3,
+                message: format!("{} rules broken", results.rules_broken),
+            }),
+            1 => Err(CommandError::failure("bounds missed, but the machine was too busy to tell")),
+            exit_status => {
+                Err(CommandError { exit_status, message: format!("{} bounds missed", results.bounds_missed) })
             }
-            3 => Err(Failed { status: 3, text: format!("{} rules broken", results.rules_broken) }),
-            1 => Err(Failed::could_not("bounds missed, but the machine was too busy to tell")),
-            status => Err(Failed { status, text: format!("{} bounds missed", results.bounds_missed) }),
         }
     }
 }
 
 impl Lab {
-    pub fn run(self) -> Result<(), Failed> {
+    pub fn run(self) -> Result<(), CommandError> {
         match self {
             Lab::Run(run) => run.run(),
-            Lab::Hunt(hunt) => hunt.run(),
+            Lab::Hunt(search) => search.run(),
             Lab::List { folder } => list(&folder),
             Lab::Report { out } => {
                 let results = read_results(&out.join("results.json"))?;
-                let source = Source::read(&out.join("scenario.toml")).map_err(Failed::unusable)?;
-                let pictures = report::pictures_of(&results, &source, &out).map_err(Failed::unusable)?;
+                let source = Source::read(&out.join("scenario.toml")).map_err(CommandError::usage)?;
+                let pictures = report::pictures_of(&results, &source, &out).map_err(CommandError::usage)?;
                 let path = out.join("report.html");
                 write(&path, report::page(&results, &pictures).as_bytes())?;
                 println!("report: {}", path.display());
@@ -322,21 +350,22 @@
                 print!("{}", report::compare(&read_results(&a)?, &read_results(&b)?));
                 Ok(())
             }
-            Lab::Peer => component::process_main().map_err(Failed::could_not),
-            Lab::Hold { pin, program } => hold::hold(pin, &program),
+            Lab::Peer => component::process_main().map_err(CommandError::failure),
+            Lab::Hold { pin, program } => hold::exec_with_parent(pin, &program),
         }
     }
 }
 
-fn list(folder: &Path) -> Result<(), Failed> {
+/// Prints the scenarios in a folder, one line each.
+fn list(folder: &Path) -> Result<(), CommandError> {
     let files =
-        std::fs::read_dir(folder).map_err(|e| Failed::unusable(format!("{}: {e}", folder.display())))?;
+        std::fs::read_dir(folder).map_err(|e| CommandError::usage(format!("{}: {e}", folder.display())))?;
     let mut files: Vec<PathBuf> = files.flatten().map(|entry| entry.path()).collect();
     files.retain(|path| path.extension().is_some_and(|extension| extension == "toml"));
     files.sort();
     for path in files {
-        let source = Source::read(&path).map_err(Failed::unusable)?;
-        let scenario = source.scenario(None, false).map_err(Failed::unusable)?;
+        let source = Source::read(&path).map_err(CommandError::usage)?;
+        let scenario = source.scenario(None, false).map_err(CommandError::usage)?;
         let runs = scenario.variants.len().max(1);
         println!("{:<28} {:>4.0} s x {runs}  {}", path.display(), scenario.lasts.secs(), scenario.about);
     }
--- a/crates/command/src/main.rs
+++ b/crates/command/src/main.rs
@@ -1,5 +1,7 @@
-//! `sparlug`: one command line over all parts. Its exit status: 0 done; 1 could not run; 2 unusable arguments
-//! or configuration; 3 a rule was broken in the lab; 4 an experiment's bound was missed.
+//! `sparlug`: the command line for the proxy, the fleet and the lab.
+//!
+//! Exit status: 0 success; 1 the command failed to run; 2 invalid arguments or configuration; 3 a lab run
+//! broke a rule; 4 an experiment missed one of its bounds.
 
 mod demo;
 mod fleet;
@@ -13,25 +15,28 @@
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
 
-/// How a command failed: the line for people, and the status.
+/// A failed command: the message for standard error and the exit status of the process.
 #[derive(Debug)]
-pub struct Failed {
-    pub status: u8,
-    pub text: String,
+pub struct CommandError {
+    pub exit_status: u8,
+    pub message: String,
 }
 
-impl Failed {
-    pub fn could_not(text: impl Into<String>) -> Failed {
-        Failed { status: 1, text: text.into() }
+impl CommandError {
+    /// The command was valid but failed: exit status 1.
+    pub fn failure(message: impl Into<String>) -> CommandError {
+        CommandError { exit_status: 1, message: message.into() }
     }
 
-    pub fn unusable(text: impl Into<String>) -> Failed {
-        Failed { status: 2, text: text.into() }
+    /// Invalid arguments or configuration: exit status 2.
+    pub fn usage(message: impl Into<String>) -> CommandError {
+        CommandError { exit_status: 2, message: message.into() }
     }
 }
 
+/// Format of log lines, as given on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, ValueEnum)]
-pub enum Format {
+pub enum LogFormatArgument {
     Text,
     Json,
 }
@@ -41,7 +46,7 @@
 struct Arguments {
     /// How log lines look, on standard error
     #[arg(long, global = true, value_enum)]
-    log_format: Option<Format>,
+    log_format: Option<LogFormatArgument>,
     /// Which log lines are written, such as "info" or "sparlug_proxy=debug"
     #[arg(long, global = true, value_name = "FILTER")]
     log: Option<String>,
@@ -73,23 +78,23 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let log = serve::Logging { filter: arguments.log, format: arguments.log_format };
-    let done = match arguments.command {
-        Command::Serve { config } => serve::serve(config, log),
+    let logging = serve::Logging { filter: arguments.log, format: arguments.log_format };
+    let result = match arguments.command {
+        Command::Serve { config } => serve::serve(config, logging),
         Command::Check { file } => serve::check(&file),
-        Command::Demo(demo) => log.start(None, None).and_then(|()| demo.run()),
+        Command::Demo(demo) => logging.init(None, None).and_then(|()| demo.run()),
         Command::Fleet(fleet) => fleet.run(),
-        Command::Lab(lab) => log.start(None, None).and_then(|()| lab.run()),
+        Command::Lab(lab) => logging.init(None, None).and_then(|()| lab.run()),
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Arguments::command(), "sparlug", &mut std::io::stdout());
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failed { status, text }) => {
-            text.lines().for_each(|line| eprintln!("sparlug: {line}"));
-            ExitCode::from(status)
+        Err(CommandError { exit_status, message }) => {
+            message.lines().for_each(|line| eprintln!("sparlug: {line}"));
+            ExitCode::from(exit_status)
         }
     }
 }
