--- a/crates/command/tests/member/mod.rs
+++ b/crates/command/tests/member/mod.rs
@@ -1,6 +1,6 @@
-//! Processes of the program as members of one fleet, each ended with its test.
+//! Helpers that run `sparlug serve` processes as members of one fleet and stop them when their test ends.
 
-#![allow(dead_code)] // each test uses its part
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -12,9 +12,10 @@
 use serde_json::Value;
 
 pub const SPARLUG: &str = env!("CARGO_BIN_EXE_sparlug");
-pub const COMES: Duration = Duration::from_secs(60); // what must come has come by then
+/// Limit for each expected event; a test that waits longer fails.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A proxy in a fleet; it ends with this, also when a test fails.
+/// A proxy process in a fleet; dropping this kills it, also when a test fails.
 pub struct Member {
     pub child: Child,
     config: PathBuf,
@@ -30,36 +31,40 @@
     }
 }
 
-/// An address of this test's own part of loopback, which nobody else listens on.
-pub fn address(n: usize, port: u16) -> String {
-    static FLEETS: AtomicU32 = AtomicU32::new(0);
-    thread_local!(static OWN: u32 = FLEETS.fetch_add(1, Ordering::Relaxed));
-    let (own, pid) = (OWN.with(|own| *own), std::process::id());
-    format!("127.{}.{}.{}:{port}", 10 + pid / 250 % 40, pid % 250, own as usize * 20 + n + 1)
+/// An address in a range of loopback that is derived from the process id and the test's thread, so that tests
+/// in parallel don't share addresses.
+pub fn address(index: usize, port: u16) -> String {
+    static NEXT_THREAD_INDEX: AtomicU32 = AtomicU32::new(0);
+    thread_local!(static THREAD_INDEX: u32 = NEXT_THREAD_INDEX.fetch_add(1, Ordering::Relaxed));
+    let (thread_index, pid) = (THREAD_INDEX.with(|index| *index), std::process::id());
+    format!("127.{}.{}.{}:{port}", 10 + pid / 250 % 40, pid % 250, thread_index as usize * 20 + index + 1)
 }
 
-pub fn fleet(n: usize) -> String {
-    address(n, 7100)
+/// Address on which a member exchanges fleet messages.
+pub fn fleet_address(index: usize) -> String {
+    address(index, 7100)
 }
 
-pub fn text(name: &str, n: usize, fleet_name: &str, seeds: &[usize], more: &str) -> String {
-    let seeds: Vec<String> = seeds.iter().map(|seed| fleet(*seed)).collect();
+/// Configuration of a member.
+pub fn config_text(name: &str, index: usize, fleet_name: &str, seeds: &[usize], extra_lines: &str) -> String {
+    let seeds: Vec<String> = seeds.iter().map(|seed| fleet_address(*seed)).collect();
     format!(
         "name = {name:?}\n[[listener]]\naddress = \"{}\"\n[management]\naddress = \"{}\"\n\
          [[discovery.backend]]\nname = \"s\"\naddress = \"127.0.0.1:9\"\n\
-         [fleet]\nname = {fleet_name:?}\naddress = \"{}\"\nseeds = {seeds:?}\n{more}\n\
+         [fleet]\nname = {fleet_name:?}\naddress = \"{}\"\nseeds = {seeds:?}\n{extra_lines}\n\
          [tariff.read]\ngoal = \"1s\"\ncut_off = \"2s\"\neffect = \"reissuable\"\n",
-        address(n, 7300),
-        address(n, 7200),
-        fleet(n)
+        address(index, 7300),
+        address(index, 7200),
+        fleet_address(index)
     )
 }
 
-pub fn start(n: usize, text: &str) -> Member {
-    let own = address(n, 0).replace([':', '.'], "-");
-    static COUNT: AtomicU32 = AtomicU32::new(0);
-    let count = COUNT.fetch_add(1, Ordering::Relaxed);
-    let config = std::env::temp_dir().join(format!("sparlug-member{own}-{count}.toml"));
+/// Starts a proxy with this configuration, killed by the kernel if the test process dies.
+pub fn start_member(index: usize, text: &str) -> Member {
+    let file_suffix = address(index, 0).replace([':', '.'], "-");
+    static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
+    let file_number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
+    let config = std::env::temp_dir().join(format!("sparlug-member{file_suffix}-{file_number}.toml"));
     std::fs::write(&config, text).unwrap();
     let child = Command::new(SPARLUG)
         .args(["lab", "hold", "--", SPARLUG, "--log", "info", "serve", "--config"])
@@ -68,51 +73,59 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    Member { child, config, listen: address(n, 7300), management: address(n, 7200) }
+    Member { child, config, listen: address(index, 7300), management: address(index, 7200) }
 }
 
-pub fn members(count: usize) -> Vec<Member> {
-    (0..count).map(|n| start(n, &text(&format!("p-{n}"), n, "blue", &[0, 1], ""))).collect()
+/// Starts members `p-0`, `p-1`, ... of one fleet.
+pub fn start_members(count: usize) -> Vec<Member> {
+    (0..count)
+        .map(|index| start_member(index, &config_text(&format!("p-{index}"), index, "blue", &[0, 1], "")))
+        .collect()
 }
 
-pub fn call(address: &str, path: &str) -> Option<String> {
+/// Body of the response to a GET request, if there is one.
+pub fn get_body(address: &str, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
     stream
         .write_all(format!("GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n").as_bytes())
         .ok()?;
-    let mut text = String::new();
-    stream.read_to_string(&mut text).ok()?;
-    text.split_once("\r\n\r\n").map(|(_, body)| body.to_string())
+    let mut response = String::new();
+    stream.read_to_string(&mut response).ok()?;
+    response.split_once("\r\n\r\n").map(|(_, body)| body.to_string())
 }
 
-pub fn view(member: &Member) -> Option<Value> {
-    serde_json::from_str(&call(&member.management, "/fleet")?).ok()
+/// A member's view of the fleet, as JSON.
+pub fn fleet_view(member: &Member) -> Option<Value> {
+    serde_json::from_str(&get_body(&member.management, "/fleet")?).ok()
 }
 
-/// Names that a member holds to be in one of these states.
-pub fn named(member: &Member, states: &[&str]) -> Vec<String> {
-    let Some(view) = view(member) else { return Vec::new() };
-    let all = view["members"].as_array().cloned().unwrap_or_default();
-    let fit = all.iter().filter(|one| states.contains(&one["state"].as_str().unwrap_or("")));
-    fit.map(|one| one["name"].as_str().unwrap_or("").to_string()).collect()
+/// Names of the members that `member` considers to be in one of these states.
+pub fn members_in_state(member: &Member, states: &[&str]) -> Vec<String> {
+    let Some(view) = fleet_view(member) else { return Vec::new() };
+    let entries = view["members"].as_array().cloned().unwrap_or_default();
+    let matching = entries.iter().filter(|entry| states.contains(&entry["state"].as_str().unwrap_or("")));
+    matching.map(|entry| entry["name"].as_str().unwrap_or("").to_string()).collect()
 }
 
-pub const THERE: [&str; 2] = ["alive", "suspect"];
+/// States of a member that counts as present.
+pub const PRESENT_STATES: [&str; 2] = ["alive", "suspect"];
 
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < COMES, "never came: {what}");
+/// Polls until the condition is met.
+pub fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !is_met() {
+        assert!(started_at.elapsed() < EVENT_TIMEOUT, "timed out waiting for: {condition}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-pub fn all_see(members: &[&Member], wanted: &[&str]) -> bool {
-    members.iter().all(|member| named(member, &THERE) == wanted)
+/// Whether each of the members sees exactly the expected members present.
+pub fn all_see_members(members: &[&Member], expected: &[&str]) -> bool {
+    members.iter().all(|member| members_in_state(member, &PRESENT_STATES) == expected)
 }
 
-pub fn signal(member: &Member, signal: &str) {
-    let done = Command::new("kill").args([signal, &member.child.id().to_string()]).status().unwrap();
-    assert!(done.success());
+pub fn send_signal(member: &Member, signal: &str) {
+    let status = Command::new("kill").args([signal, &member.child.id().to_string()]).status().unwrap();
+    assert!(status.success());
 }
--- a/crates/command/tests/scenarios.rs
+++ b/crates/command/tests/scenarios.rs
@@ -1,19 +1,20 @@
-//! Every scenario that is shipped, in its short form: no rule broken, no bound missed.
+//! Runs the short form of every shipped scenario: no rule may be broken and no bound missed.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// So many at once: more would make the lab itself late.
-const AT_ONCE: usize = 3;
-/// A run on a machine that was too busy to tell is played again, so often.
-const AGAIN: usize = 2;
+/// Scenarios run at the same time; more would make the lab itself late.
+const PARALLEL_RUNS: usize = 3;
+/// How often a run is repeated when the machine was too busy to judge it.
+const BUSY_RETRIES: usize = 2;
 
-/// What CI's machine may not have room for is played smaller.
-const SMALLER: [&str; 2] =
+/// Settings that reduce `idle.toml`, for which the CI machine may not have the capacity.
+const SMALLER_IDLE_SETTINGS: [&str; 2] =
     ["variant.1.set={\"callers.idle\"=300}", "variant.1.bounds={honoured_least=0.99, idle_least=300}"];
 
-const FLEET: [&str; 5] = [
+/// The fleet scenarios that are small enough for the CI machine.
+const SMALL_FLEET_SCENARIOS: [&str; 5] = [
     "fleet-half-killed.toml",
     "fleet-lists.toml",
     "fleet-search.toml",
@@ -21,25 +22,30 @@
     "fleet-herd.toml",
 ];
 
-fn play(file: &Path) -> Result<(), String> {
-    let idle = file.ends_with("idle.toml");
-    for turn in 0..=AGAIN {
-        let done = Command::new(env!("CARGO_BIN_EXE_sparlug"))
+fn run_scenario(file: &Path) -> Result<(), String> {
+    let is_idle_scenario = file.ends_with("idle.toml");
+    for attempt in 0..=BUSY_RETRIES {
+        let result = Command::new(env!("CARGO_BIN_EXE_sparlug"))
             .args(["lab", "run", "--short", "--quiet"])
             .arg(file)
-            .args(SMALLER.iter().filter(|_| idle).flat_map(|set| ["--set", set]))
+            .args(
+                SMALLER_IDLE_SETTINGS
+                    .iter()
+                    .filter(|_| is_idle_scenario)
+                    .flat_map(|setting| ["--set", setting]),
+            )
             .stdin(Stdio::null())
             .output()
             .map_err(|e| e.to_string())?;
-        let said = String::from_utf8_lossy(&done.stdout) + String::from_utf8_lossy(&done.stderr);
-        let said = format!("{}: {:?}\n{said}", file.display(), done.status.code());
-        match done.status.code() {
+        let output = String::from_utf8_lossy(&result.stdout) + String::from_utf8_lossy(&result.stderr);
+        let output = format!("{}: {:?}\n{output}", file.display(), result.status.code());
+        match result.status.code() {
             Some(0) => return Ok(()),
-            Some(1) if said.contains("too busy") && turn < AGAIN => println!("{said}"),
-            _ => return Err(said),
+            Some(1) if output.contains("too busy") && attempt < BUSY_RETRIES => println!("{output}"),
+            _ => return Err(output),
         }
     }
-    unreachable!("the last turn returns")
+    unreachable!("the last attempt returns")
 }
 
 #[test]
@@ -47,26 +53,28 @@
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab");
     let files = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
     let mut files: Vec<PathBuf> =
-        files.filter(|path| path.extension().is_some_and(|e| e == "toml")).collect();
-    // Of those with many processes, CI's machine plays what it has room for.
-    let many = |name: String| ["fleet-", "members-", "duties-"].iter().any(|kind| name.starts_with(kind));
-    let fleet =
-        |path: &PathBuf| path.file_name().is_some_and(|name| many(name.to_string_lossy().into_owned()));
-    let small = |path: &PathBuf| FLEET.iter().any(|name| path.ends_with(name));
-    files.retain(|path| !fleet(path) || small(path));
+        files.filter(|path| path.extension().is_some_and(|extension| extension == "toml")).collect();
+    // Of the scenarios with many processes, only those run for which the CI machine has the capacity.
+    let has_many_processes =
+        |name: String| ["fleet-", "members-", "duties-"].iter().any(|prefix| name.starts_with(prefix));
+    let is_fleet_scenario = |path: &PathBuf| {
+        path.file_name().is_some_and(|name| has_many_processes(name.to_string_lossy().into_owned()))
+    };
+    let is_small = |path: &PathBuf| SMALL_FLEET_SCENARIOS.iter().any(|name| path.ends_with(name));
+    files.retain(|path| !is_fleet_scenario(path) || is_small(path));
     files.sort();
-    assert!(files.len() >= 15 + FLEET.len());
-    let next = AtomicUsize::new(0);
-    let failed = std::thread::scope(|scope| {
-        let work = || {
-            let mut failed = Vec::new();
-            while let Some(file) = files.get(next.fetch_add(1, Ordering::Relaxed)) {
-                failed.extend(play(file).err());
+    assert!(files.len() >= 15 + SMALL_FLEET_SCENARIOS.len());
+    let next_file = AtomicUsize::new(0);
+    let failures = std::thread::scope(|scope| {
+        let worker = || {
+            let mut failures = Vec::new();
+            while let Some(file) = files.get(next_file.fetch_add(1, Ordering::Relaxed)) {
+                failures.extend(run_scenario(file).err());
             }
-            failed
+            failures
         };
-        let threads: Vec<_> = (0..AT_ONCE).map(|_| scope.spawn(work)).collect();
+        let threads: Vec<_> = (0..PARALLEL_RUNS).map(|_| scope.spawn(worker)).collect();
         threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect::<Vec<_>>()
     });
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
