--- a/crates/proxy/tests/helper/mod.rs
+++ b/crates/proxy/tests/helper/mod.rs
@@ -1,5 +1,6 @@
-#![allow(dead_code)] // each test program uses a part of it
-//! What the socket tests share: a proxy process on a free port, and the two sides it stands between.
+#![allow(dead_code)] // each test program uses only some of these helpers
+//! Helpers shared by the tests that talk to a real proxy process over sockets: starting the proxy on a free
+//! port, clients, stub backends and a stub discovery agent.
 
 pub mod shim;
 
@@ -11,27 +12,32 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Long enough for anything that is going to happen; nothing waits for it to pass.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Upper bound on a single wait: longer than any expected event takes. No test needs it to elapse, except to
+/// see a failure.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
+/// A running proxy process, killed on drop.
 pub struct Proxy {
     child: Child,
     pub address: String,
-    /// Where operators call, if they may.
+    /// Address of the management listener; empty if there is none.
     pub management: String,
+    /// Lines of the process's standard error.
     pub log: Receiver<String>,
-    /// Kept open and silent, as an agent is while discovery is down.
+    /// Listener of the discovery agent. It accepts nothing by itself, like an agent during a discovery
+    /// outage.
     pub discovery: TcpListener,
     config: String,
     path: PathBuf,
 }
 
-/// The settings of a tier with a safe and an at-most-once class, and targets of `target` ms.
-pub fn settings(target: u32, more: &str) -> String {
+/// Settings of a tier with a safe class (`read`) and an at-most-once class (`write`), whose latency targets
+/// are `target_ms`. `extra_allowed` is appended to the keys of `allowed`.
+pub fn settings(target_ms: u32, extra_allowed: &str) -> String {
     let class = |name: &str, effect: &str| {
         format!(
-            r#"{{"name":"{name}","latencyGoalMs":{target},"cutOffMs":{},"value":1,"effect":"{effect}"}}"#,
-            target * 2
+            r#"{{"name":"{name}","latencyGoalMs":{target_ms},"cutOffMs":{},"value":1,"effect":"{effect}"}}"#,
+            target_ms * 2
         )
     };
     let classes = [class("read", "pure"), class("write", "side_effect")].join(",");
@@ -39,12 +45,13 @@
         r#"{{"tier":0,"balancers":1,"roundMs":1.0,"discovery":"pushed","tariffs":[{classes}],
         "zones":["a"],"report":{{"how":"answers","columns":["busy_reqs","pending"]}},
         "allowed":{{"maxForwards":2,"cancelling":true,"retryAfter":true,"maxRetryAfterMs":500,
-        "dialTimeoutMs":1000{more}}},
+        "dialTimeoutMs":1000{extra_allowed}}},
         "obligations":{{"coldShare":0.3,"rampTimeMs":8000,"fallMultiple":3,"tipAfterMs":3000}}}}"#
     )
 }
 
-/// A configuration of these backends with these addresses, and the agent that it names.
+/// A configuration with these backends and the given JSON keys for the proxy's own addresses, and the
+/// listener of the discovery agent that it names.
 pub fn config(
     backends: &[&TcpListener],
     sockets: usize,
@@ -52,9 +59,9 @@
     addresses: &str,
 ) -> (String, TcpListener) {
     let discovery = backend();
-    let host = |(place, backend): (usize, &&TcpListener)| {
+    let host = |(index, backend): (usize, &&TcpListener)| {
         let dial = backend.local_addr().unwrap();
-        format!(r#"{{"host":"h{place}","dial":"{dial}","site":"a","health":"Ready","share":1.0}}"#)
+        format!(r#"{{"host":"h{index}","dial":"{dial}","site":"a","health":"Ready","share":1.0}}"#)
     };
     let hosts: Vec<_> = backends.iter().enumerate().map(host).collect();
     let text = format!(
@@ -67,13 +74,13 @@
     (text, discovery)
 }
 
-/// Sends a text on a connection of its own and reads all that comes until the connection ends.
+/// Sends `text` on a new connection and reads until the server closes it.
 pub fn fetch(address: &str, text: &str) -> String {
-    let mut stream = patient(TcpStream::connect(address).unwrap());
+    let mut stream = with_read_timeout(TcpStream::connect(address).unwrap());
     stream.write_all(text.as_bytes()).unwrap();
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).unwrap();
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).unwrap();
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 impl Proxy {
@@ -85,7 +92,8 @@
         Proxy::start_limited(backends, sockets, sockets, settings)
     }
 
-    /// With fewer descriptors than the configuration says.
+    /// Starts the proxy with a limit of open descriptors (`ulimit -n`) other than the configured number of
+    /// sockets.
     pub fn start_limited(
         backends: &[&TcpListener],
         sockets: usize,
@@ -96,93 +104,94 @@
         Proxy::spawn(text, descriptors, &[])
     }
 
-    /// One that operators may call, at the addresses and with the environment that are given.
+    /// Starts a proxy with a management listener, at the given listen address and with extra environment
+    /// variables.
     pub fn start_managed(backends: &[&TcpListener], listen: &str, environment: &[(&str, &str)]) -> Proxy {
         let addresses = format!(r#""listen":"{listen}","management":"127.0.0.1:0""#);
         Proxy::spawn(config(backends, 1024, &settings(5000, ""), &addresses), 1024, environment)
     }
 
-    /// At addresses of one's own choice.
+    /// Starts the proxy with the given JSON keys for its addresses.
     pub fn start_at(backends: &[&TcpListener], addresses: &str) -> Proxy {
         Proxy::spawn(config(backends, 1024, &settings(5000, ""), addresses), 1024, &[])
     }
 
-    /// By a configuration in the project's own form, which names its backends itself.
+    /// Starts the proxy with a native (TOML) configuration, which names its own backends.
     pub fn start_native(text: &str) -> Proxy {
         Proxy::spawn_at(new_config_path().with_extension("toml"), (text.to_string(), backend()), 1024, &[])
     }
 
-    fn spawn(config: (String, TcpListener), descriptors: usize, more: &[(&str, &str)]) -> Proxy {
-        Proxy::spawn_at(new_config_path(), config, descriptors, more)
+    fn spawn(config: (String, TcpListener), descriptors: usize, environment: &[(&str, &str)]) -> Proxy {
+        Proxy::spawn_at(new_config_path(), config, descriptors, environment)
     }
 
     fn spawn_at(
         path: PathBuf,
         (config, discovery): (String, TcpListener),
         descriptors: usize,
-        more: &[(&str, &str)],
+        environment: &[(&str, &str)],
     ) -> Proxy {
-        let (mut child, log) = spawn_proxy(&config, descriptors, &path, more);
+        let (mut child, log) = spawn_proxy(&config, descriptors, &path, environment);
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| log.0.send(line)));
         let (mut address, mut management) = (String::new(), String::new());
         while address.is_empty() {
-            let line = log.1.recv_timeout(PATIENCE).expect("the proxy says where it serves");
-            let named = |name| line.split_once(name).and_then(|(_, rest)| rest.split(' ').next());
-            address = named(" listen=").unwrap_or_default().to_string();
-            management = named("management=").unwrap_or_default().to_string();
+            let line = log.1.recv_timeout(MAX_WAIT).expect("the proxy logs its listen address");
+            let field = |name| line.split_once(name).and_then(|(_, rest)| rest.split(' ').next());
+            address = field(" listen=").unwrap_or_default().to_string();
+            management = field("management=").unwrap_or_default().to_string();
         }
         Proxy { child, address, management, log: log.1, discovery, config, path }
     }
 
-    /// Makes an operator's call; the status and the text of its answer.
+    /// Sends a request to the management listener; returns the status and the body of the response.
     pub fn admin_request(&self, method: &str, path: &str) -> (u16, String) {
-        let answer = fetch(&self.management, &format!("{method} {path} HTTP/1.1\r\nHost: m\r\n\r\n"));
-        let (head, body) = answer.split_once("\r\n\r\n").unwrap_or_default();
+        let response = fetch(&self.management, &format!("{method} {path} HTTP/1.1\r\nHost: m\r\n\r\n"));
+        let (head, body) = response.split_once("\r\n\r\n").unwrap_or_default();
         (head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0), body.to_string())
     }
 
-    /// The figure of a name among those that operators read.
+    /// Value of a metric of `GET /metrics`.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let (_, text) = self.admin_request("GET", "/metrics");
-        let found = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
-        found?.split('|').next()?.parse().ok()
+        let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
+        value?.split('|').next()?.parse().ok()
     }
 
-    /// Of its process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
     pub fn connect(&self) -> TcpStream {
-        patient(TcpStream::connect(&self.address).unwrap())
+        with_read_timeout(TcpStream::connect(&self.address).unwrap())
     }
 
-    /// Sends one request on a connection of its own and reads all that comes until the connection ends.
+    /// Sends one request on a new connection and reads until the proxy closes it.
     pub fn fetch(&self, request: &str) -> String {
         fetch(&self.address, request)
     }
 
-    /// Has it read its configuration anew, which names another agent.
+    /// Makes the proxy reload a configuration that names another discovery agent.
     pub fn switch_agent(&self, agent: &TcpListener) {
         let [old, new] = [&self.discovery, agent].map(|agent| agent.local_addr().unwrap().to_string());
         self.reconfigure(&self.config.replace(&old, &new));
     }
 
-    /// Puts half of a configuration that names another agent in its place, as one that is still being written, and
-    /// gives back the whole.
+    /// Overwrites the configuration file with the first half of one that names another agent, as if it were
+    /// still being written, and returns the full text.
     pub fn write_truncated_config(&self, agent: &TcpListener) -> String {
         let [old, new] = [&self.discovery, agent].map(|agent| agent.local_addr().unwrap().to_string());
-        let whole = self.config.replace(&old, &new);
-        std::fs::write(&self.path, &whole[..whole.len() / 2]).unwrap();
-        whole
+        let full = self.config.replace(&old, &new);
+        std::fs::write(&self.path, &full[..full.len() / 2]).unwrap();
+        full
     }
 
-    /// Writes the rest, without a signal.
-    pub fn write_config(&self, whole: &str) {
-        std::fs::write(&self.path, whole).unwrap();
+    /// Writes a configuration to the file without sending a signal.
+    pub fn write_config(&self, config: &str) {
+        std::fs::write(&self.path, config).unwrap();
     }
 
+    /// Writes a configuration, sends SIGHUP and waits for a log line about it.
     pub fn reconfigure(&self, config: &str) {
         std::fs::write(&self.path, config).unwrap();
         self.signal("-HUP");
@@ -193,7 +202,8 @@
         assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
     }
 
-    /// Holds its loop still, so that what comes until it goes on is there in one turn.
+    /// Stops the process (SIGSTOP), so that all that arrives until `resume` is handled in one iteration of
+    /// its event loop.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
@@ -204,14 +214,15 @@
         self.signal("-CONT");
     }
 
-    /// Waits for its end and tells its exit code.
+    /// Waits until the process ends; returns its exit code.
     pub fn wait_for_exit(mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
-    /// Waits for its end until a point in time, from which on it is killed; its exit code, if it ended by itself.
-    pub fn wait_for_exit_until(mut self, until: std::time::Instant) -> Option<i32> {
-        while std::time::Instant::now() < until {
+    /// Waits until the process ends or, at the deadline, kills it; returns its exit code if it ended by
+    /// itself.
+    pub fn wait_for_exit_until(mut self, deadline: std::time::Instant) -> Option<i32> {
+        while std::time::Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
@@ -220,10 +231,10 @@
         None
     }
 
-    /// Waits for a log line that holds a text.
+    /// Waits for a log line that contains `text`.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).expect("the log goes on");
+            let line = self.log.recv_timeout(MAX_WAIT).expect("the expected log line appears in time");
             if line.contains(text) {
                 return line;
             }
@@ -238,7 +249,7 @@
     }
 }
 
-/// A process that ends with its test.
+/// A child process that is killed on drop.
 pub struct KillOnDrop(pub Child);
 
 impl Drop for KillOnDrop {
@@ -248,81 +259,90 @@
     }
 }
 
-type Log = (std::sync::mpsc::Sender<String>, Receiver<String>);
+type LogChannel = (std::sync::mpsc::Sender<String>, Receiver<String>);
 
-/// Where a configuration may be written.
+/// An unused path for a configuration file.
 pub fn new_config_path() -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("sparlug-test-{}-{number}.json", std::process::id()))
 }
 
-/// Starts the program with a configuration at a path; its standard error is to be read.
-pub fn spawn_proxy(config: &str, descriptors: usize, path: &Path, more: &[(&str, &str)]) -> (Child, Log) {
+/// Writes the configuration to `path` and starts the proxy with it. The caller reads the piped standard error
+/// and may pass its lines on over the returned channel.
+pub fn spawn_proxy(
+    config: &str,
+    descriptors: usize,
+    path: &Path,
+    environment: &[(&str, &str)],
+) -> (Child, LogChannel) {
     std::fs::write(path, config).unwrap();
     let mut command = Command::new("sh");
     command.args(["-c", &format!("ulimit -n {descriptors}; exec $0"), env!("CARGO_BIN_EXE_sparlug-proxy")]);
-    command.envs(more.iter().copied());
+    command.envs(environment.iter().copied());
     let child = command.env("ROUTER_CONFIG", path).stderr(Stdio::piped()).spawn().unwrap();
     (child, channel())
 }
 
+/// A listener on a free port.
 pub fn backend() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    // Guards against a test that waits for ever for a connection.
-    socket2::SockRef::from(&listener).set_read_timeout(Some(3 * PATIENCE)).unwrap();
+    // Keeps a test from waiting forever for a connection.
+    socket2::SockRef::from(&listener).set_read_timeout(Some(3 * MAX_WAIT)).unwrap();
     listener
 }
 
-/// Fills the backlog of a listener that accepts nothing, so that no further connection comes up before some of these
+/// Fills the accept backlog of a listener, so that no further connection is established until some of these
 /// are accepted.
 pub fn fill_backlog(backend: &TcpListener) -> Vec<TcpStream> {
-    let to = backend.local_addr().unwrap();
-    let dial = |_| TcpStream::connect_timeout(&to, Duration::from_millis(100)).ok();
-    let full: Vec<_> = (0..5000).map_while(dial).collect();
-    assert!(full.len() < 5000);
-    full
+    let address = backend.local_addr().unwrap();
+    let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
+    let queued: Vec<_> = (0..5000).map_while(connect).collect();
+    assert!(queued.len() < 5000);
+    queued
 }
 
-/// A listener that lets no connection come up.
+/// A listener with a full backlog: no further connection to it is established.
 pub fn unreachable_backend() -> (TcpListener, Vec<TcpStream>) {
     let backend = backend();
-    let full = fill_backlog(&backend);
-    (backend, full)
+    let queued = fill_backlog(&backend);
+    (backend, queued)
 }
 
-/// Counters as they stand now.
+/// Current value of a counter, read from the line that the proxy logs on SIGUSR1.
 pub fn counter(proxy: &Proxy, name: &str) -> u64 {
     proxy.signal("-USR1");
     let line = proxy.wait_for_log("counters=");
-    let found = line.split([' ', '"']).find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
-    found.and_then(|count| count.parse().ok()).unwrap_or_else(|| panic!("{name} in {line}"))
+    let value = line.split([' ', '"']).find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
+    value.and_then(|count| count.parse().ok()).unwrap_or_else(|| panic!("{name} in {line}"))
 }
 
-/// One that refuses all connections. It keeps its port: guards against another test's listener getting it.
+/// A backend that refuses all connections. Its socket stays bound, so that no other test's listener gets its
+/// port.
 pub fn refusing_backend() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
     socket.into()
 }
 
-/// Closes a connection here and now. Guards against a copy of it that lives on in a child of another test for the
-/// moment between its fork and its exec.
+/// Shuts a connection down in both directions at once. Closing the descriptor is not enough: a process that
+/// another test starts holds a copy of it between its fork and its exec.
 pub fn close(stream: TcpStream) {
     stream.shutdown(std::net::Shutdown::Both).unwrap();
 }
 
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    patient(listener.accept().unwrap().0)
+    with_read_timeout(listener.accept().unwrap().0)
 }
 
-fn patient(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+fn with_read_timeout(stream: TcpStream) -> TcpStream {
+    stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     stream.set_nodelay(true).unwrap();
     stream
 }
 
-/// Reads one message with a `Content-Length` or none, and nothing of what follows.
+/// Reads one HTTP message, with or without a `Content-Length`, and nothing of what follows it. Returns what
+/// has come if the connection ends within the head.
 pub fn read_message(stream: &mut TcpStream) -> String {
     let (mut text, mut byte) = (String::new(), [0]);
     while !text.ends_with("\r\n\r\n") {
@@ -342,47 +362,48 @@
     stream.write_all(text.as_bytes()).unwrap();
 }
 
-/// A request for a path, that bears a new id and asks for the connection to end after its answer.
-pub fn request(method: &str, path: &str, time_out: &str) -> String {
+/// A request with a new id and `Connection: close`; `timeout_s` is its `Request-Timeout`.
+pub fn request(method: &str, path: &str, timeout_s: &str) -> String {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let id = COUNT.fetch_add(1, Ordering::Relaxed);
     format!(
         "{method} {path} HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: 9b1f{id:08x}\r\n\
-        Request-Timeout: {time_out}\r\nConnection: close\r\n\r\n"
+        Request-Timeout: {timeout_s}\r\nConnection: close\r\n\r\n"
     )
 }
 
-/// The same with much time, on a connection that stays.
+/// A request with a timeout of 60 s on a persistent connection.
 pub fn keep_alive_request(method: &str, path: &str) -> String {
     request(method, path, "60").replace("Connection: close\r\n", "")
 }
 
-/// The id that a request bears.
+/// Value of the `Request-Id` header.
 pub fn request_id(text: &str) -> &str {
     text.lines().find_map(|line| line.strip_prefix("Request-Id: ")).unwrap_or_default()
 }
 
-/// Asks for something without waiting for the answer.
+/// Sends a request on a new connection without waiting for the response.
 pub fn send_request(proxy: &Proxy, text: &str) -> TcpStream {
     let mut client = proxy.connect();
     write(&mut client, text);
     client
 }
 
-pub fn response(status: &str, more: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
+/// An HTTP response; `headers` are extra header lines, each ending in CRLF.
+pub fn response(status: &str, headers: &str, body: &str) -> String {
+    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A request as a backend read it.
+/// A request that a backend has received.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: String,
     pub at: std::time::Instant,
-    /// The time that it says is left, in seconds.
+    /// Seconds left according to its `Request-Timeout`; infinite without one.
     pub timeout: f64,
 }
 
-/// What backends have read so far.
+/// The requests that a backend has received so far.
 #[derive(Clone, Default)]
 pub struct Arrivals(std::sync::Arc<std::sync::Mutex<Vec<Arrival>>>);
 
@@ -396,14 +417,14 @@
     }
 
     pub fn record(&self, text: &str) {
-        let line = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
-        let timeout = line("Request-Timeout: ").and_then(|time| time.parse().ok()).unwrap_or(f64::INFINITY);
+        let header = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
+        let timeout = header("Request-Timeout: ").and_then(|time| time.parse().ok()).unwrap_or(f64::INFINITY);
         let arrival = Arrival { id: request_id(text).to_string(), at: std::time::Instant::now(), timeout };
         self.0.lock().unwrap().push(arrival);
     }
 }
 
-/// Answers every request on every connection of a backend.
+/// Answers every request on every connection of a backend with the body `fine`.
 pub fn serve(backend: TcpListener) -> Arrivals {
     let arrivals = Arrivals::default();
     let all = arrivals.clone();
@@ -416,8 +437,8 @@
                     return;
                 }
                 all.record(&text);
-                let answer = response("200 OK", "", "fine");
-                if conn.write_all(answer.as_bytes()).is_err() {
+                let response = response("200 OK", "", "fine");
+                if conn.write_all(response.as_bytes()).is_err() {
                     return;
                 }
             });
--- a/crates/proxy/tests/helper/shim.rs
+++ b/crates/proxy/tests/helper/shim.rs
@@ -1,5 +1,6 @@
-//! Makes system calls of a proxy process fail while it runs: builds the library of `tests/shim/faults.c`, and tells it
-//! through a file that both map or write which calls fail, how, and how often.
+//! Injects failures of system calls into a running proxy process. Builds the `LD_PRELOAD` library of
+//! `tests/shim/faults.c` and sets its rules (which calls fail, how and how often) through a control file,
+//! which the library maps and this module writes.
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -20,27 +21,31 @@
     Write,
     EpollWait,
     EpollAdd,
-    /// The write by which a signal handler wakes the loop.
+    /// The write to a socket pair by which a signal handler wakes the event loop.
     SignalWake,
+    /// getpeername(2).
     PeerName,
+    /// getsockopt(2) with `SO_ERROR`.
     SocketError,
+    /// A write to standard error.
     LogWrite,
     FileOpen,
     FileRead,
     DatagramWrite,
     DatagramRead,
-    /// Of a TCP option.
+    /// setsockopt(2) of a TCP option.
     SetOption,
-    /// A message that may bear a descriptor.
+    /// sendmsg(2), which can pass descriptors.
     MessageWrite,
+    /// recvmsg(2).
     MessageRead,
 }
 
-const CALLS: usize = 18;
+const CALL_KINDS: usize = 18;
 const RULE_BYTES: usize = 32;
 const HITS_OFFSET: usize = 24;
 
-/// Error numbers of Linux.
+/// Linux error numbers.
 pub mod errno {
     pub const EPERM: u32 = 1;
     pub const EINTR: u32 = 4;
@@ -67,29 +72,29 @@
     pub const EHOSTUNREACH: u32 = 113;
 }
 
-/// How a kind of call fails.
+/// A rule by which one kind of call fails.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     pub call: SystemCall,
-    /// 0: the call moves at most `bytes` bytes.
+    /// Error number; 0: the call succeeds, but transfers at most `max_bytes`.
     pub error: u32,
-    pub bytes: u32,
-    /// One call in so many fails.
+    pub max_bytes: u32,
+    /// Every n-th call fails.
     pub every: u32,
-    /// How many calls fail.
+    /// Number of calls that fail.
     pub times: u32,
-    /// Only on sockets with this port at either end, if it is not 0.
+    /// Only sockets with this local or remote port are affected; 0: all.
     pub port: u16,
 }
 
 impl Fault {
     pub fn with_error(call: SystemCall, error: u32, times: u32) -> Fault {
-        Fault { call, error, bytes: 0, every: 1, times, port: 0 }
+        Fault { call, error, max_bytes: 0, every: 1, times, port: 0 }
     }
 
-    /// Reads or writes move at most so many bytes at a time.
-    pub fn short_transfer(call: SystemCall, bytes: u32, times: u32) -> Fault {
-        Fault { bytes, ..Fault::with_error(call, 0, times) }
+    /// Reads or writes transfer at most `max_bytes` at a time.
+    pub fn short_transfer(call: SystemCall, max_bytes: u32, times: u32) -> Fault {
+        Fault { max_bytes, ..Fault::with_error(call, 0, times) }
     }
 
     pub fn on_port(self, port: u16) -> Fault {
@@ -101,34 +106,34 @@
     }
 }
 
-/// The library as one proxy process has it loaded.
+/// Control over the library in one proxy process.
 pub struct Shim {
     control: File,
     path: PathBuf,
 }
 
-/// The library, built once for each test program.
+/// Path of the library, which is built once per test program.
 fn library() -> &'static PathBuf {
-    static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| {
+    static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
+    LIBRARY.get_or_init(|| {
         let name = format!("libfaults-{}.so", std::process::id());
         let library = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/shim/faults.c");
         let flags = ["-shared", "-fPIC", "-O1", "-Wall", "-Wextra", "-Werror", "-std=gnu11", "-o"];
-        let built = Command::new("cc").args(flags).arg(&library).args([source, "-ldl"]).output();
-        let built = built.expect("a C compiler is there");
-        assert!(built.status.success(), "{}", String::from_utf8_lossy(&built.stderr));
+        let output = Command::new("cc").args(flags).arg(&library).args([source, "-ldl"]).output();
+        let output = output.expect("a C compiler is installed");
+        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         library
     })
 }
 
 impl Shim {
-    /// Starts a proxy under the library; nothing fails yet.
+    /// Starts a proxy with the library loaded and no faults.
     pub fn start(backends: &[&TcpListener], settings: &str) -> (Proxy, Shim) {
         Shim::start_failing(backends, settings, &[])
     }
 
-    /// The same where calls fail from the first moment on.
+    /// Starts a proxy with faults in force from its start.
     pub fn start_failing(backends: &[&TcpListener], settings: &str, faults: &[Fault]) -> (Proxy, Shim) {
         let (shim, environment) = Shim::prepare();
         faults.iter().for_each(|fault| shim.inject(*fault));
@@ -138,26 +143,31 @@
         (proxy, shim)
     }
 
-    /// A proxy that operators may call, at an address of its own.
-    pub fn start_managed(backends: &[&TcpListener], listen: &str, more: &[(&str, &str)]) -> (Proxy, Shim) {
-        Shim::start_managed_failing(backends, listen, more, &[])
+    /// Starts a proxy with a management listener, at the given listen address and with extra environment
+    /// variables.
+    pub fn start_managed(
+        backends: &[&TcpListener],
+        listen: &str,
+        extra_environment: &[(&str, &str)],
+    ) -> (Proxy, Shim) {
+        Shim::start_managed_failing(backends, listen, extra_environment, &[])
     }
 
-    /// The same where calls fail from the first moment on.
+    /// As `start_managed`, with faults in force from the start.
     pub fn start_managed_failing(
         backends: &[&TcpListener],
         listen: &str,
-        more: &[(&str, &str)],
+        extra_environment: &[(&str, &str)],
         faults: &[Fault],
     ) -> (Proxy, Shim) {
         let (shim, environment) = Shim::prepare();
         faults.iter().for_each(|fault| shim.inject(*fault));
         let environment = environment.each_ref().map(|(name, value)| (*name, value.as_str()));
-        let environment: Vec<_> = environment.into_iter().chain(more.iter().copied()).collect();
+        let environment: Vec<_> = environment.into_iter().chain(extra_environment.iter().copied()).collect();
         (Proxy::start_managed(backends, listen, &environment), shim)
     }
 
-    /// A proxy by a configuration in the project's own form.
+    /// Starts a proxy with a native (TOML) configuration.
     pub fn start_native(text: &str) -> (Proxy, Shim) {
         let (shim, environment) = Shim::prepare();
         let environment = environment.each_ref().map(|(name, value)| (*name, value.as_str()));
@@ -165,11 +175,11 @@
         (Proxy::spawn_at(path, (text.to_string(), super::backend()), 1024, &environment), shim)
     }
 
-    /// What a process is started with to have the library loaded.
+    /// Creates the control file; returns the environment variables that load the library.
     fn prepare() -> (Shim, [(&'static str, String); 3]) {
         let path = new_config_path().with_extension("faults");
         let control = OpenOptions::new().read(true).write(true).create_new(true).open(&path).unwrap();
-        control.set_len((CALLS * RULE_BYTES + 8) as u64).unwrap();
+        control.set_len((CALL_KINDS * RULE_BYTES + 8) as u64).unwrap();
         let environment = [
             ("LD_PRELOAD", library().to_str().unwrap().to_string()),
             ("SHIM_CONTROL", path.to_str().unwrap().to_string()),
@@ -178,40 +188,40 @@
         (Shim { control, path }, environment)
     }
 
-    /// From now on calls fail so.
+    /// Puts a fault in force; it replaces an earlier one of the same kind of call.
     pub fn inject(&self, fault: Fault) {
-        let Fault { call, error, bytes, every, times, port } = fault;
-        let words = [error, bytes, every, times, port.into()];
-        let rule: Vec<u8> = words.iter().flat_map(|word| word.to_ne_bytes()).collect();
+        let Fault { call, error, max_bytes, every, times, port } = fault;
+        let fields = [error, max_bytes, every, times, port.into()];
+        let rule: Vec<u8> = fields.iter().flat_map(|field| field.to_ne_bytes()).collect();
         self.control.write_all_at(&rule, (call as usize * RULE_BYTES) as u64).unwrap();
     }
 
-    /// Calls of this kind succeed again.
+    /// Ends the fault of this kind of call.
     pub fn clear(&self, call: SystemCall) {
         self.inject(Fault::with_error(call, 0, 0));
     }
 
-    /// How many calls of this kind have failed so far.
+    /// Number of calls of this kind that a fault has hit so far.
     pub fn hits(&self, call: SystemCall) -> u32 {
-        let mut word = [0; 4];
-        let place = call as usize * RULE_BYTES + HITS_OFFSET;
-        self.control.read_exact_at(&mut word, place as u64).unwrap();
-        u32::from_ne_bytes(word)
+        let mut hits = [0; 4];
+        let offset = call as usize * RULE_BYTES + HITS_OFFSET;
+        self.control.read_exact_at(&mut hits, offset as u64).unwrap();
+        u32::from_ne_bytes(hits)
     }
 
-    /// Waits until so many calls of this kind have failed.
+    /// Waits until a fault has hit at least `hits` calls of this kind.
     pub fn wait_for_hits(&self, call: SystemCall, hits: u32) {
         let start = std::time::Instant::now();
         while self.hits(call) < hits {
-            assert!(start.elapsed() < super::PATIENCE, "{call:?} failed {} times", self.hits(call));
+            assert!(start.elapsed() < super::MAX_WAIT, "{call:?} failed {} times", self.hits(call));
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
     }
 
-    /// Sets the wall clock of the process off by so much.
+    /// Shifts the wall clock of the process.
     pub fn step_wall_clock(&self, milliseconds: i64) {
-        let place = (CALLS * RULE_BYTES) as u64;
-        self.control.write_all_at(&milliseconds.to_ne_bytes(), place).unwrap();
+        let offset = (CALL_KINDS * RULE_BYTES) as u64;
+        self.control.write_all_at(&milliseconds.to_ne_bytes(), offset).unwrap();
     }
 }
 
--- a/crates/proxy/tests/shim/faults.c
+++ b/crates/proxy/tests/shim/faults.c
@@ -1,9 +1,9 @@
 /*
- * Makes system calls of one process fail, as a test asks for while the process runs.
+ * Injects failures of system calls into the process that loads this library, under the control of a test.
  *
- * Loaded with LD_PRELOAD. SHIM_CONTROL names a file of rules, one for each kind of call, that the test writes and this
- * library maps. Only sockets of the process are touched: TCP over IPv4 for most rules, Unix sockets for the signal pipe.
- * Linux only.
+ * Loaded with LD_PRELOAD. SHIM_CONTROL names a file of rules, one for each kind of call, that the test writes
+ * and this library maps. Socket rules apply only to sockets of the process: TCP over IPv4 for most rules,
+ * Unix sockets for the signal pipe. Linux only.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -43,13 +43,13 @@
 };
 
 struct rule {
-    uint32_t error;  /* what the call fails with; 0: it moves at most `bytes` bytes instead */
-    uint32_t bytes;
-    uint32_t every;  /* one call in so many fails */
-    uint32_t left;   /* how many more calls fail */
-    uint32_t port;   /* only sockets with this port at either end; 0: all */
-    uint32_t seen;
-    uint32_t hits;
+    uint32_t error;      /* errno of the failing call; 0: it transfers at most max_bytes instead */
+    uint32_t max_bytes;
+    uint32_t every;      /* every n-th call fails */
+    uint32_t remaining;  /* number of calls that are still to fail */
+    uint32_t port;       /* only sockets with this local or remote port; 0: all */
+    uint32_t calls;      /* calls counted for `every` */
+    uint32_t hits;       /* calls that have failed */
     uint32_t unused;
 };
 
@@ -73,7 +73,19 @@
 }
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
-#define FAILS(call, fd) __extension__({ struct rule *r_ = hit(call, fd); if (r_ && r_->error) { errno = (int)r_->error; return -1; } r_; })
+/*
+ * Returns -1 from the calling function if an error rule applies; otherwise evaluates to the rule of a short
+ * transfer, or NULL.
+ */
+#define FAIL_IF_HIT(call, fd) \
+    __extension__({ \
+        struct rule *r_ = hit_socket(call, fd); \
+        if (r_ && r_->error) { \
+            errno = (int)r_->error; \
+            return -1; \
+        } \
+        r_; \
+    })
 
 static int port_of(const struct sockaddr_storage *address)
 {
@@ -101,40 +113,41 @@
     return family;
 }
 
-static struct rule *hit_always(enum call call)
+/* Counts the call and returns its rule if the call is to fail now. */
+static struct rule *hit(enum call call)
 {
     struct rule *rule = control ? &control->rules[call] : NULL;
-    if (!rule || rule->left == 0 || ++rule->seen % (rule->every ? rule->every : 1) != 0)
+    if (!rule || rule->remaining == 0 || ++rule->calls % (rule->every ? rule->every : 1) != 0)
         return NULL;
-    rule->left--;
+    rule->remaining--;
     rule->hits++;
     return rule;
 }
 
-/* The rule that this call on a TCP socket falls under now, if any. */
-static struct rule *hit(enum call call, int fd)
+/* As hit(), for a call on a TCP socket over IPv4 that has the rule's port. */
+static struct rule *hit_socket(enum call call, int fd)
 {
     int type = 0, saved = errno;
     struct rule *rule = control ? &control->rules[call] : NULL;
-    if (!rule || rule->left == 0)
+    if (!rule || rule->remaining == 0)
         return NULL;
-    int wanted = family_and_type(fd, &type) == AF_INET && type == SOCK_STREAM;
-    if (wanted && rule->port)
-        wanted = has_port(fd, rule->port);
+    int matches = family_and_type(fd, &type) == AF_INET && type == SOCK_STREAM;
+    if (matches && rule->port)
+        matches = has_port(fd, rule->port);
     errno = saved;
-    return wanted ? hit_always(call) : NULL;
+    return matches ? hit(call) : NULL;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags)
 {
-    FAILS(ACCEPT, fd);
+    FAIL_IF_HIT(ACCEPT, fd);
     return REAL(accept4)(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol)
 {
     if (domain == AF_INET && (type & 0xf) == SOCK_STREAM) {
-        struct rule *rule = hit_always(SOCKET);
+        struct rule *rule = hit(SOCKET);
         if (rule) {
             errno = (int)rule->error;
             return -1;
@@ -146,9 +159,9 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length)
 {
     struct rule *rule = control ? &control->rules[CONNECT] : NULL;
-    int fits = address->sa_family == AF_INET && rule &&
-               (rule->port == 0 || rule->port == ntohs(((const struct sockaddr_in *)address)->sin_port));
-    if (fits && (rule = hit_always(CONNECT))) {
+    int matches = address->sa_family == AF_INET && rule &&
+                  (rule->port == 0 || rule->port == ntohs(((const struct sockaddr_in *)address)->sin_port));
+    if (matches && (rule = hit(CONNECT))) {
         errno = (int)rule->error;
         return -1;
     }
@@ -157,71 +170,71 @@
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags)
 {
-    struct rule *rule = FAILS(READ, fd);
-    if (rule && length > rule->bytes)
-        length = rule->bytes;
+    struct rule *rule = FAIL_IF_HIT(READ, fd);
+    if (rule && length > rule->max_bytes)
+        length = rule->max_bytes;
     return REAL(recv)(fd, buffer, length, flags);
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags)
 {
     int type = 0;
-    if (control && control->rules[SIGNAL_WAKE].left && family_and_type(fd, &type) == AF_UNIX) {
-        struct rule *wake = hit_always(SIGNAL_WAKE);
+    if (control && control->rules[SIGNAL_WAKE].remaining && family_and_type(fd, &type) == AF_UNIX) {
+        struct rule *wake = hit(SIGNAL_WAKE);
         if (wake) {
             errno = (int)wake->error;
             return -1;
         }
     }
-    struct rule *rule = FAILS(WRITE, fd);
-    if (rule && length > rule->bytes)
-        length = rule->bytes;
+    struct rule *rule = FAIL_IF_HIT(WRITE, fd);
+    if (rule && length > rule->max_bytes)
+        length = rule->max_bytes;
     return REAL(send)(fd, buffer, length, flags);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
-    struct rule *rule = hit_always(EPOLL_WAIT);
+    struct rule *rule = hit(EPOLL_WAIT);
     if (rule) {
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(epoll_wait)(fd, events, most, timeout);
+    return REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
 int epoll_ctl(int fd, int operation, int target, struct epoll_event *event)
 {
     if (operation == EPOLL_CTL_ADD)
-        FAILS(EPOLL_ADD, target);
+        FAIL_IF_HIT(EPOLL_ADD, target);
     return REAL(epoll_ctl)(fd, operation, target, event);
 }
 
 int getpeername(int fd, struct sockaddr *address, socklen_t *length)
 {
-    FAILS(PEER_NAME, fd);
+    FAIL_IF_HIT(PEER_NAME, fd);
     return REAL(getpeername)(fd, address, length);
 }
 
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length)
 {
     if (level == SOL_SOCKET && name == SO_ERROR)
-        FAILS(SOCKET_ERROR, fd);
+        FAIL_IF_HIT(SOCKET_ERROR, fd);
     return REAL(getsockopt)(fd, level, name, value, length);
 }
 
 ssize_t write(int fd, const void *buffer, size_t length)
 {
-    struct rule *rule = fd == 2 ? hit_always(LOG_WRITE) : NULL;
+    struct rule *rule = fd == 2 ? hit(LOG_WRITE) : NULL;
     if (rule && rule->error) {
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(write)(fd, buffer, rule && length > rule->bytes ? rule->bytes : length);
+    return REAL(write)(fd, buffer, rule && length > rule->max_bytes ? rule->max_bytes : length);
 }
 
 int open64(const char *path, int flags, ...)
 {
-    struct rule *rule = hit_always(FILE_OPEN);
+    struct rule *rule = hit(FILE_OPEN);
     if (rule) {
         errno = (int)rule->error;
         return -1;
@@ -238,17 +251,18 @@
 
 ssize_t read(int fd, void *buffer, size_t length)
 {
-    struct rule *rule = fd > 2 ? hit_always(FILE_READ) : NULL;
+    struct rule *rule = fd > 2 ? hit(FILE_READ) : NULL;
     if (rule && rule->error) {
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(read)(fd, buffer, rule && length > rule->bytes ? rule->bytes : length);
+    return REAL(read)(fd, buffer, rule && length > rule->max_bytes ? rule->max_bytes : length);
 }
 
-ssize_t sendto(int fd, const void *buffer, size_t length, int flags, const struct sockaddr *to, socklen_t size)
+ssize_t sendto(int fd, const void *buffer, size_t length, int flags, const struct sockaddr *to,
+               socklen_t size)
 {
-    struct rule *rule = hit_always(DATAGRAM_WRITE);
+    struct rule *rule = hit(DATAGRAM_WRITE);
     if (rule) {
         errno = (int)rule->error;
         return -1;
@@ -258,7 +272,7 @@
 
 ssize_t recvfrom(int fd, void *buffer, size_t length, int flags, struct sockaddr *from, socklen_t *size)
 {
-    struct rule *rule = hit_always(DATAGRAM_READ);
+    struct rule *rule = hit(DATAGRAM_READ);
     if (rule) {
         errno = (int)rule->error;
         return -1;
@@ -269,13 +283,13 @@
 int setsockopt(int fd, int level, int name, const void *value, socklen_t length)
 {
     if (level == IPPROTO_TCP)
-        FAILS(SET_OPTION, fd);
+        FAIL_IF_HIT(SET_OPTION, fd);
     return REAL(setsockopt)(fd, level, name, value, length);
 }
 
 ssize_t sendmsg(int fd, const struct msghdr *message, int flags)
 {
-    struct rule *rule = hit_always(MESSAGE_WRITE);
+    struct rule *rule = hit(MESSAGE_WRITE);
     if (rule) {
         errno = (int)rule->error;
         return -1;
@@ -285,7 +299,7 @@
 
 ssize_t recvmsg(int fd, struct msghdr *message, int flags)
 {
-    struct rule *rule = hit_always(MESSAGE_READ);
+    struct rule *rule = hit(MESSAGE_READ);
     if (rule) {
         errno = (int)rule->error;
         return -1;
--- a/crates/proxy/tests/soak/plan.rs
+++ b/crates/proxy/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Which calls fail when, drawn from a seed.
+//! Faults drawn from a seed: which calls fail, how, and for how long.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 
 use crate::helper::shim::{errno, Fault, Shim, SystemCall};
 
-/// Which side's sockets a fault falls on.
+/// The sockets that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Side {
     Clients,
@@ -14,20 +14,20 @@
     Any,
 }
 
-/// A fault that was played, for the judgement of what happened meanwhile.
+/// A fault and the time during which it was in force.
 #[derive(Clone, Copy, Debug)]
-pub struct Played {
+pub struct InjectedFault {
     pub fault: Fault,
     pub side: Side,
     pub from: Instant,
     pub to: Instant,
 }
 
-/// What a backend takes for an answer at the most.
-const LONGEST_ANSWER: Duration = Duration::from_millis(30);
+/// Longest time that a stub backend takes for a response.
+const MAX_RESPONSE_TIME: Duration = Duration::from_millis(30);
 /// Errors that end the connection on which they come.
-const ENDS: [u32; 4] = [errno::ETIMEDOUT, errno::EHOSTUNREACH, errno::ECONNRESET, errno::EPIPE];
-/// Calls with their errors, 0 for a short transfer, and the sides on which they fail.
+const CONNECTION_ERRORS: [u32; 4] = [errno::ETIMEDOUT, errno::EHOSTUNREACH, errno::ECONNRESET, errno::EPIPE];
+/// Calls with their errors (0: a short transfer) and the sides on which they fail.
 pub const CALLS: [(SystemCall, &[u32], &[Side]); 15] = [
     (
         SystemCall::Accept,
@@ -98,30 +98,37 @@
     (SystemCall::SetOption, &[errno::ENOBUFS, errno::ENOMEM], &[Side::Clients, Side::Backends]),
 ];
 
-impl Played {
-    /// Whether it fell within a span.
+impl InjectedFault {
+    /// Whether the fault was in force at any moment of a span.
     pub fn overlaps(&self, from: Instant, to: Instant) -> bool {
         self.from <= to && from <= self.to
     }
 
-    /// Whether each accept, each read from clients or each write to them failed from before an answer could have been
-    /// given until its client waited no more: nobody could have served it then.
-    pub fn left_no_way(&self, sent: Instant, until: Instant) -> bool {
-        let call = matches!(self.fault.call, SystemCall::Accept | SystemCall::Read | SystemCall::Write);
-        let each = call && self.fault.error != 0 && self.fault.every == 1 && self.side != Side::Backends;
-        each && self.from <= sent + LONGEST_ANSWER && self.to >= until
+    /// Whether every accept, every read from clients or every write to them failed, from before a response
+    /// could have been sent until the client gave up, so that no proxy could have served the request.
+    pub fn blocked_clients(&self, sent: Instant, deadline: Instant) -> bool {
+        let serves_clients =
+            matches!(self.fault.call, SystemCall::Accept | SystemCall::Read | SystemCall::Write);
+        let all_calls =
+            serves_clients && self.fault.error != 0 && self.fault.every == 1 && self.side != Side::Backends;
+        all_calls && self.from <= sent + MAX_RESPONSE_TIME && self.to >= deadline
     }
 
-    /// Whether it may end a client's connection.
-    pub fn ends_clients(&self) -> bool {
+    /// Whether the fault may end a client's connection.
+    pub fn may_end_client_connections(&self) -> bool {
         matches!(self.fault.call, SystemCall::Read | SystemCall::Write)
             && self.side != Side::Backends
-            && ENDS.contains(&self.fault.error)
+            && CONNECTION_ERRORS.contains(&self.fault.error)
     }
 }
 
-/// Makes a call fail for some time.
-pub fn play(shim: &Shim, rng: &mut Rand32, client_port: u16, backend_ports: &[u16]) -> Played {
+/// Makes a random call fail for a random time.
+pub fn inject_random(
+    shim: &Shim,
+    rng: &mut Rand32,
+    client_port: u16,
+    backend_ports: &[u16],
+) -> InjectedFault {
     let (call, errors, sides) = CALLS[rng.rand_range(0..CALLS.len() as u32) as usize];
     let error = errors[rng.rand_range(0..errors.len() as u32) as usize];
     let side = sides[rng.rand_range(0..sides.len() as u32) as usize];
@@ -140,5 +147,5 @@
     shim.inject(fault);
     std::thread::sleep(Duration::from_millis(rng.rand_range(20..500).into()));
     shim.clear(call);
-    Played { fault, side, from, to: Instant::now() }
+    InjectedFault { fault, side, from, to: Instant::now() }
 }
--- a/crates/proxy/tests/soak/mod.rs
+++ b/crates/proxy/tests/soak/mod.rs
@@ -1,8 +1,8 @@
-//! What the soak and the matrix of failing system calls are made of.
+//! Clients, stub servers, fault injection and checks shared by the soak test and the fault matrix.
 
-#![allow(dead_code)] // each test program uses a part of it
+#![allow(dead_code)] // each test program uses only some of these
 
+pub mod checks;
 pub mod clients;
-pub mod judge;
-pub mod plan;
-pub mod servers;
+pub mod faults;
+pub mod stub_servers;
--- a/crates/proxy/tests/soak/servers.rs
+++ b/crates/proxy/tests/soak/stub_servers.rs
@@ -1,4 +1,4 @@
-//! Backends that answer after a while, and an agent that has nothing new to tell.
+//! Stub backends with a response delay, and a discovery agent that never has changes.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,10 +6,10 @@
 
 use crate::helper::{response, Arrivals};
 
-const LONGEST_WAIT: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads up to the end of a head that no body follows; `None` if the connection ends before.
-fn head(conn: &mut TcpStream) -> Option<String> {
+/// Reads the head of a request without a body; `None` if the connection ends before.
+fn read_head(conn: &mut TcpStream) -> Option<String> {
     let (mut text, mut byte) = (Vec::new(), [0]);
     while !text.ends_with(b"\r\n\r\n") {
         match conn.read(&mut byte) {
@@ -20,15 +20,15 @@
     String::from_utf8(text).ok()
 }
 
-fn serve_by(listener: TcpListener, reply: impl Fn(&str) -> String + Clone + Send + 'static) {
+fn serve_with(listener: TcpListener, respond: impl Fn(&str) -> String + Clone + Send + 'static) {
     std::thread::spawn(move || {
         while let Ok((mut conn, _)) = listener.accept() {
-            let reply = reply.clone();
+            let respond = respond.clone();
             std::thread::spawn(move || {
-                let _ = conn.set_read_timeout(Some(LONGEST_WAIT));
+                let _ = conn.set_read_timeout(Some(READ_TIMEOUT));
                 let _ = conn.set_nodelay(true);
-                while let Some(text) = head(&mut conn) {
-                    if conn.write_all(reply(&text).as_bytes()).is_err() {
+                while let Some(text) = read_head(&mut conn) {
+                    if conn.write_all(respond(&text).as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -37,12 +37,12 @@
     });
 }
 
-/// Answers with the request's id after some milliseconds, which depend on it.
+/// Answers with the request's id, after up to 24 ms that depend on the id.
 pub fn backend(listener: TcpListener) -> Arrivals {
     let arrivals = Arrivals::default();
-    let all = arrivals.clone();
-    serve_by(listener, move |text| {
-        all.record(text);
+    let received = arrivals.clone();
+    serve_with(listener, move |text| {
+        received.record(text);
         let id = crate::helper::request_id(text);
         let sum: u64 = id.bytes().map(u64::from).sum();
         std::thread::sleep(Duration::from_millis(sum * 7 % 25));
@@ -51,9 +51,9 @@
     arrivals
 }
 
-/// Answers each call after a while with nothing new.
+/// Answers each list request after 300 ms with an empty change.
 pub fn agent(listener: TcpListener) {
-    serve_by(listener, |_| {
+    serve_with(listener, |_| {
         std::thread::sleep(Duration::from_millis(300));
         response("200 OK", "", r#"{"seq":4,"whole":false,"hosts":[]}"#)
     });
