--- a/crates/proxy/tests/dial_failures.rs
+++ b/crates/proxy/tests/dial_failures.rs
@@ -1,5 +1,5 @@
-//! Connecting to backends fails for a moment for the proxy's own reasons: what nothing was sent of is tried again
-//! within its time, and no backend is blamed.
+//! Transient failures to connect to backends for reasons local to the proxy: a request of which nothing was
+//! sent is retried within its deadline, and no backend is blamed.
 
 mod helper;
 
@@ -8,12 +8,13 @@
 use helper::shim::{errno, Fault, Shim, SystemCall};
 use helper::{accept, backend, keep_alive_request, read_message, request, response, serve, settings, write};
 
-const SOON: Duration = Duration::from_millis(500);
-/// What a client waits at the most.
+/// Longest time that a response may take.
+const MAX_DELAY: Duration = Duration::from_millis(500);
+/// Latency target of the classes.
 const TARGET_MS: u32 = 500;
 
-/// A moment's failures: of socket(2), connect(2) and epoll_ctl(2).
-const FAILURES: [(SystemCall, u32); 18] = [
+/// Transient failures of socket(2), connect(2), epoll_ctl(2), getpeername(2) and getsockopt(2).
+const TRANSIENT_FAILURES: [(SystemCall, u32); 18] = [
     (SystemCall::Socket, errno::EMFILE),
     (SystemCall::Socket, errno::ENFILE),
     (SystemCall::Socket, errno::ENOBUFS),
@@ -36,14 +37,14 @@
 
 #[test]
 fn requests_are_sent_once_connecting_succeeds_again() {
-    for (call, error) in FAILURES {
+    for (call, error) in TRANSIENT_FAILURES {
         for (method, path) in [("GET", "/read"), ("POST", "/write")] {
             let listeners = [backend(), backend()];
             let ports = listeners.each_ref().map(|listener| listener.local_addr().unwrap().port());
             let (proxy, shim) = Shim::start(&[&listeners[0], &listeners[1]], &settings(TARGET_MS, ""));
             let arrivals = listeners.map(serve);
             let mut client = proxy.connect();
-            // Only one backend's port can be named; where none can, discovery's calls fail as well.
+            // A fault names the port of one backend only. Without a port, discovery's calls fail as well.
             let by_port = !matches!(call, SystemCall::Socket);
             let times = 8;
             let fault = Fault::with_error(call, error, times);
@@ -53,38 +54,38 @@
                     keep_alive_request(method, path).replace("Request-Timeout: 60", "Request-Timeout: 1");
                 let start = Instant::now();
                 write(&mut client, &text);
-                let answered = read_message(&mut client);
-                let case =
-                    format!("{call:?} error {error} {method}: {answered:?} after {:?}", start.elapsed());
-                assert!(answered.ends_with("fine"), "{case}");
-                assert!(start.elapsed() < SOON, "{case}");
+                let reply = read_message(&mut client);
+                let case = format!("{call:?} error {error} {method}: {reply:?} after {:?}", start.elapsed());
+                assert!(reply.ends_with("fine"), "{case}");
+                assert!(start.elapsed() < MAX_DELAY, "{case}");
                 let runs: usize =
-                    arrivals.iter().map(|all| all.with_id(helper::request_id(&text)).len()).sum();
+                    arrivals.iter().map(|received| received.with_id(helper::request_id(&text)).len()).sum();
                 assert_eq!(runs, 1, "{case}");
             }
-            let out = proxy.metric("svc.backends_excluded");
-            assert_eq!(out, Some(0), "no backend is blamed: {call:?} error {error}");
+            let excluded = proxy.metric("svc.backends_excluded");
+            assert_eq!(excluded, Some(0), "no backend is blamed: {call:?} error {error}");
         }
     }
 }
 
-/// Guards against waiting on where the time is over: the answer comes by the deadline all the same.
+/// Guards against waiting past the deadline: a request that can never be sent is answered by its deadline all
+/// the same.
 #[test]
-fn a_request_that_cannot_be_sent_at_all_is_answered_in_its_time() {
+fn a_request_that_cannot_be_sent_is_answered_by_its_deadline() {
     for (call, error) in [(SystemCall::Socket, errno::ENFILE), (SystemCall::Connect, errno::ENETUNREACH)] {
         let listener = backend();
         let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
         shim.inject(Fault::with_error(call, error, u32::MAX));
         let start = Instant::now();
-        let answered = proxy.fetch(&request("POST", "/write", "0.3"));
-        assert!(answered.starts_with("HTTP/1.1 50"), "{call:?}: {answered:?}");
+        let reply = proxy.fetch(&request("POST", "/write", "0.3"));
+        assert!(reply.starts_with("HTTP/1.1 50"), "{call:?}: {reply:?}");
         assert!(start.elapsed() < Duration::from_millis(350), "{call:?}: after {:?}", start.elapsed());
     }
 }
 
-/// Guards against telling a backend a time of which a failing write has used up a part.
+/// Guards against forwarding a `Request-Timeout` of which failing writes have already used up a part.
 #[test]
-fn the_time_told_to_a_backend_is_what_is_left_when_writing_succeeds() {
+fn the_forwarded_timeout_is_the_time_left_when_the_write_succeeds() {
     let listener = backend();
     let port = listener.local_addr().unwrap().port();
     let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
@@ -96,20 +97,20 @@
     std::thread::sleep(Duration::from_millis(600));
     shim.clear(SystemCall::Write);
     let text = read_message(&mut conn);
-    let told = text.lines().find_map(|line| line.strip_prefix("Request-Timeout: ")).unwrap();
-    let left = 2.0 - start.elapsed().as_secs_f64();
-    assert!(told.parse::<f64>().unwrap() <= left + 0.15, "told {told}, left {left}");
+    let forwarded = text.lines().find_map(|line| line.strip_prefix("Request-Timeout: ")).unwrap();
+    let remaining = 2.0 - start.elapsed().as_secs_f64();
+    assert!(forwarded.parse::<f64>().unwrap() <= remaining + 0.15, "forwarded {forwarded}, left {remaining}");
     write(&mut conn, &response("200 OK", "", "fine"));
     assert!(read_message(&mut client).ends_with("fine"));
 }
 
-/// Guards against backends that count as silent because this machine could not send to them.
+/// Guards against backends being ejected as silent although it was the proxy that could not send to them.
 #[test]
-fn no_backend_is_shut_out_while_no_socket_can_be_made() {
+fn no_backend_is_excluded_while_no_socket_can_be_created() {
     let listeners = [backend(), backend(), backend(), backend()];
     let (proxy, shim) = Shim::start(&listeners.each_ref(), &settings(5000, ""));
     let _arrivals = listeners.map(serve);
-    // Until what is usual is known, by which silence is judged.
+    // Long enough to learn the usual response times, by which silence is judged.
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(4_500) {
         assert!(proxy.fetch(&request("POST", "/write", "1")).ends_with("fine"));
@@ -120,8 +121,8 @@
             (0..8).map(|_| helper::send_request(&proxy, &request("POST", "/write", "4"))).collect();
         let start = Instant::now();
         while start.elapsed() < Duration::from_millis(1_500) {
-            let out = proxy.metric("svc.backends_excluded");
-            assert_eq!(out, Some(0), "{call:?} error {error}, after {:?}", start.elapsed());
+            let excluded = proxy.metric("svc.backends_excluded");
+            assert_eq!(excluded, Some(0), "{call:?} error {error}, after {:?}", start.elapsed());
             std::thread::sleep(Duration::from_millis(20));
         }
         shim.clear(call);
--- a/crates/proxy/tests/process_failures.rs
+++ b/crates/proxy/tests/process_failures.rs
@@ -1,4 +1,4 @@
-//! Signals, waits, files and the start of the process while system calls fail for a moment.
+//! Signals, waits, files and the start of the process under transient failures of system calls.
 
 mod helper;
 
@@ -8,9 +8,9 @@
 use helper::shim::{errno, Fault, Shim, SystemCall};
 use helper::{accept, backend, keep_alive_request, read_message, response, serve, settings, write, Proxy};
 
-/// Guards against a signal that is not heard until something else wakes the loop.
+/// Guards against a signal that is not handled until some other event wakes the event loop.
 #[test]
-fn a_signal_is_heard_though_its_handler_cannot_wake_the_loop() {
+fn a_signal_is_handled_although_its_handler_cannot_wake_the_event_loop() {
     let listener = backend();
     let (proxy, shim) = Shim::start(&[&listener], &settings(500, ""));
     serve(listener);
@@ -21,15 +21,15 @@
     let start = Instant::now();
     proxy.signal("-TERM");
     proxy.wait_for_log("signal=15");
-    assert!(start.elapsed() < Duration::from_millis(100), "heard after {:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_millis(100), "handled after {:?}", start.elapsed());
     assert!(shim.hits(SystemCall::SignalWake) > 0);
     drop(client);
     assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
-/// Guards against a new configuration that is lost because its file could not be read in the moment of the signal.
+/// Guards against losing a new configuration because its file could not be read at the time of the signal.
 #[test]
-fn a_new_configuration_is_read_once_its_file_can_be() {
+fn a_new_configuration_is_read_once_its_file_is_readable() {
     let failures = [
         (SystemCall::FileOpen, errno::EMFILE),
         (SystemCall::FileOpen, errno::ENFILE),
@@ -55,9 +55,9 @@
     }
 }
 
-/// Guards against a process that does not come up because one call failed in its first moment.
+/// Guards against a process that does not start because one call failed during its startup.
 #[test]
-fn it_starts_though_a_call_fails_for_a_moment() {
+fn the_proxy_starts_despite_a_transient_failure() {
     let failures = [
         (SystemCall::FileOpen, errno::ENFILE),
         (SystemCall::FileOpen, errno::EIO),
@@ -81,7 +81,7 @@
 
 /// Guards against deadlines and waits that follow the wall clock.
 #[test]
-fn steps_of_the_wall_clock_move_no_deadline() {
+fn steps_of_the_wall_clock_do_not_move_deadlines() {
     for step in [3_600_000, -3_600_000, 5_000, -5_000] {
         let listener = backend();
         let (proxy, shim) = Shim::start(&[&listener], &settings(400, ""));
@@ -91,17 +91,17 @@
         let mut conn = accept(&listener);
         read_message(&mut conn);
         shim.step_wall_clock(step);
-        let answered = read_message(&mut client);
-        let took = start.elapsed();
-        assert!(answered.starts_with("HTTP/1.1 50"), "step {step}: {answered:?}");
-        let fits = took > Duration::from_millis(350) && took < Duration::from_millis(550);
-        assert!(fits, "step {step}: answered after {took:?}");
+        let reply = read_message(&mut client);
+        let elapsed = start.elapsed();
+        assert!(reply.starts_with("HTTP/1.1 50"), "step {step}: {reply:?}");
+        let on_time = elapsed > Duration::from_millis(350) && elapsed < Duration::from_millis(550);
+        assert!(on_time, "step {step}: answered after {elapsed:?}");
     }
 }
 
-/// Guards against the end of the process by one wait that failed.
+/// Guards against the process exiting because one epoll_wait(2) failed.
 #[test]
-fn a_wait_that_fails_ends_nothing() {
+fn a_failed_wait_does_not_end_the_process() {
     let listener = backend();
     let (proxy, shim) = Shim::start(&[&listener], &settings(500, ""));
     let mut client = proxy.connect();
@@ -111,7 +111,7 @@
     read_message(&mut conn);
     write(&mut conn, &response("200 OK", "", "fine"));
     assert!(read_message(&mut client).ends_with("fine"));
-    // All of them fail, and it serves on.
+    // After all 20 have failed, the proxy still serves.
     shim.wait_for_hits(SystemCall::EpollWait, 20);
     write(&mut client, &keep_alive_request("GET", "/read"));
     read_message(&mut conn);
@@ -119,41 +119,41 @@
     assert!(read_message(&mut client).ends_with("fine"));
 }
 
-/// Guards against a configuration that is lost because the signal came while its file was being written.
+/// Guards against losing a configuration because the signal came while its file was being written.
 #[test]
-fn a_configuration_that_is_half_written_is_read_again_until_it_is_whole() {
+fn a_half_written_configuration_is_read_again_until_it_is_complete() {
     let listener = backend();
     let (proxy, _shim) = Shim::start(&[&listener], &settings(500, ""));
     let agent = backend();
-    let whole = proxy.write_truncated_config(&agent);
+    let full_config = proxy.write_truncated_config(&agent);
     proxy.signal("-HUP");
     proxy.wait_for_log("configuration kept as it was");
     std::thread::sleep(Duration::from_millis(300));
-    proxy.write_config(&whole);
+    proxy.write_config(&full_config);
     let start = Instant::now();
     read_message(&mut accept(&agent));
     assert!(start.elapsed() < Duration::from_secs(1), "after {:?}", start.elapsed());
 }
 
-/// Guards against a process that does not come up beside one that is about to leave its address.
+/// Guards against a process that does not start because another one has not yet released its address.
 #[test]
-fn it_starts_once_its_address_is_free() {
+fn the_proxy_starts_once_its_address_is_free() {
     let listener = backend();
-    let holder = backend();
-    let address = holder.local_addr().unwrap();
+    let occupant = backend();
+    let address = occupant.local_addr().unwrap();
     let addresses = format!(r#""listen":"{address}""#);
     std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(700));
-        drop(holder);
+        drop(occupant);
     });
     let proxy = Proxy::start_at(&[&listener], &addresses);
     serve(listener);
     assert!(proxy.fetch(&helper::request("GET", "/read", "1")).ends_with("fine"));
 }
 
-/// Guards against a log that nobody reads holding up all that is served.
+/// Guards against requests being blocked by writes to a log that nobody reads.
 #[test]
-fn a_log_that_nobody_reads_holds_nobody_up() {
+fn a_log_that_nobody_reads_does_not_block_requests() {
     let listener = backend();
     let (text, _discovery) =
         helper::config(&[&listener], 1024, &settings(500, ""), r#""listen":"127.0.0.1:0""#);
@@ -168,7 +168,7 @@
     }
     let address = line.split(" listen=").nth(1).unwrap().trim().to_string();
     serve(listener);
-    // Nobody reads the log from here on; 64 KiB fill its pipe.
+    // From here on nobody reads the log; its pipe is full after 64 KiB.
     let mut client = std::net::TcpStream::connect(&address).unwrap();
     client.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     for number in 0..1_000 {
@@ -176,23 +176,23 @@
         assert_eq!(client.peek(&mut [0]).ok(), Some(1), "request {number} is not answered");
         assert!(read_message(&mut client).ends_with("fine"));
     }
-    // Once it is read again, lines come again, and the count of those left out.
+    // Once the log is read again, it continues and reports the number of lines that were left out.
     let (sender, lines) = std::sync::mpsc::channel();
     std::thread::spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
     let start = Instant::now();
-    let told = loop {
-        kill(&child.0, "-USR1");
+    let counters = loop {
+        send_signal(&child.0, "-USR1");
         std::thread::sleep(Duration::from_millis(50));
-        let told = lines.try_iter().filter(|line| line.contains("log_lines_left_out=")).last();
-        if let Some(told) = told {
-            break told;
+        let counters = lines.try_iter().filter(|line| line.contains("log_lines_left_out=")).last();
+        if let Some(counters) = counters {
+            break counters;
         }
-        assert!(start.elapsed() < Duration::from_secs(5), "no lines come again");
+        assert!(start.elapsed() < Duration::from_secs(5), "the log does not continue");
     };
-    assert!(!told.contains("log_lines_left_out=0 "), "{told}");
+    assert!(!counters.contains("log_lines_left_out=0 "), "{counters}");
 }
 
-fn kill(child: &std::process::Child, signal: &str) {
-    let id = child.id().to_string();
-    assert!(std::process::Command::new("kill").args([signal, &id]).status().unwrap().success());
+fn send_signal(child: &std::process::Child, signal: &str) {
+    let pid = child.id().to_string();
+    assert!(std::process::Command::new("kill").args([signal, &pid]).status().unwrap().success());
 }
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The program as it runs, between callers, backends and discovery on loopback sockets.
+//! End-to-end tests of the proxy process between clients, backends and discovery on loopback sockets.
 
 mod helper;
 
@@ -12,54 +12,56 @@
     spawn_proxy, unreachable_backend, write, Proxy,
 };
 
-/// What a stub backend sends back, or `None` if it just closes.
-fn once(listener: &TcpListener, reply: Option<&str>) -> String {
-    once_told(listener, reply, || ())
+/// Accepts one connection, reads a request and sends `reply`; with `None` it just closes. Returns the
+/// request.
+fn serve_once(listener: &TcpListener, reply: Option<&str>) -> String {
+    serve_once_notifying(listener, reply, || ())
 }
 
-/// Tells that a request has come before it is answered.
-fn once_told(listener: &TcpListener, reply: Option<&str>, came: impl FnOnce()) -> String {
+/// As `serve_once`, with a callback between the arrival of the request and the reply.
+fn serve_once_notifying(listener: &TcpListener, reply: Option<&str>, on_request: impl FnOnce()) -> String {
     let mut conn = accept(listener);
-    let seen = read_message(&mut conn);
-    came();
+    let received = read_message(&mut conn);
+    on_request();
     let _ = conn.write_all(reply.unwrap_or_default().as_bytes());
-    // Ends it at once, also while a process that another test starts still holds a copy.
+    // Ends the connection at once, even while a process that another test starts still holds a copy of
+    // it.
     let _ = conn.shutdown(Shutdown::Both);
-    seen
+    received
 }
 
-fn status(answer: &str) -> u16 {
-    answer.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or_default()
+fn status(response: &str) -> u16 {
+    response.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or_default()
 }
 
 #[test]
-fn bytes_go_through_unchanged_however_they_come() {
+fn messages_pass_unchanged_in_whatever_pieces_they_arrive() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
     let mut client = proxy.connect();
     let text = "POST /write/a?b=c HTTP/1.1\r\nHost: h\r\nRequest-Id: 7\r\nRequest-Class: write\r\n\
         Request-Timeout: 3.0\r\nX-More: \u{e9}\r\nContent-Length: 4\r\n\r\n\r\n\0\u{1}";
-    // In pieces, and with the next request behind it on the same connection.
+    // Sent byte by byte, with the next request right behind it on the same connection.
     let next = request("GET", "/read", "3.0");
     for byte in text.as_bytes() {
         client.write_all(&[*byte]).unwrap();
     }
     write(&mut client, &next);
     let mut conn = accept(&backend);
-    let seen = read_message(&mut conn);
-    let time_out = seen.lines().find(|line| line.starts_with("Request-Timeout")).unwrap();
-    let left: f64 = time_out["Request-Timeout: ".len()..].parse().unwrap();
-    assert!(left > 0.0 && left < 3.0, "{time_out}");
-    assert!(seen.starts_with("POST /write/a?b=c HTTP/1.1\r\nHost: h\r\nRequest-Id: 7\r\n"), "{seen}");
-    assert!(seen.ends_with("\r\n\r\n\r\n\0\u{1}"), "{seen}");
-    // The answer comes in pieces too, after a word on the way.
+    let received = read_message(&mut conn);
+    let timeout = received.lines().find(|line| line.starts_with("Request-Timeout")).unwrap();
+    let remaining_s: f64 = timeout["Request-Timeout: ".len()..].parse().unwrap();
+    assert!(remaining_s > 0.0 && remaining_s < 3.0, "{timeout}");
+    assert!(received.starts_with("POST /write/a?b=c HTTP/1.1\r\nHost: h\r\nRequest-Id: 7\r\n"), "{received}");
+    assert!(received.ends_with("\r\n\r\n\r\n\0\u{1}"), "{received}");
+    // The response comes in pieces too, after an interim response.
     for piece in
         ["HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 200 OK\r\nX: 1\r\nConte", "nt-Length: 3\r\n\r\na", "b\n"]
     {
         write(&mut conn, piece);
     }
     assert_eq!(read_message(&mut client), "HTTP/1.1 200 OK\r\nX: 1\r\nContent-Length: 3\r\n\r\nab\n");
-    // The connection is used again for what came behind.
+    // The connection is reused for the second request.
     assert!(read_message(&mut conn).starts_with("GET /read HTTP/1.1\r\n"));
     write(&mut conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n");
     let mut rest = String::new();
@@ -68,10 +70,10 @@
 }
 
 #[test]
-fn bad_input_gets_its_status_and_harms_nobody() {
+fn bad_input_gets_its_status_and_affects_no_other_request() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
-    let get = |path: &str, time_out: &str| request("GET", path, time_out);
+    let get = |path: &str, timeout_s: &str| request("GET", path, timeout_s);
     let cases = [
         ("nonsense\r\n\r\n".to_string(), 400),
         (get("/read", "soon"), 400),
@@ -92,71 +94,72 @@
     for (text, expected) in cases {
         assert_eq!(status(&proxy.fetch(&text)), expected, "{text:.90}");
     }
-    // The id of a request that is open: no backend gets the second, and the first is none the worse for it.
-    let mut open = proxy.connect();
+    // The id of a pending request: the second request reaches no backend, and the first is unaffected.
+    let mut pending = proxy.connect();
     let text = request("POST", "/write", "4");
-    write(&mut open, &text);
+    write(&mut pending, &text);
     let mut conn = accept(&backend);
     read_message(&mut conn);
     assert_eq!(status(&proxy.fetch(&text.replace("POST /write", "GET /read"))), 400);
     write(&mut conn, &response("200 OK", "Connection: close\r\n", "fine"));
-    assert!(read_message(&mut open).ends_with("fine"));
-    // Half a request and no more is taken for none.
+    assert!(read_message(&mut pending).ends_with("fine"));
+    // An incomplete request counts as no request.
     let mut client = proxy.connect();
     write(&mut client, "POST /write HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
     client.shutdown(Shutdown::Write).unwrap();
     assert_eq!(client.read(&mut [0; 9]).unwrap(), 0);
     std::thread::scope(|scope| {
-        scope.spawn(|| once(&backend, Some(&response("200 OK", "", "fine"))));
+        scope.spawn(|| serve_once(&backend, Some(&response("200 OK", "", "fine"))));
         assert!(proxy.fetch(&request("GET", "/read", "4")).ends_with("fine"));
     });
 }
 
-/// One request before two backends, of which each sends the reply once; how often an attempt came, and the
-/// answer.
-fn two_backends(method: &str, path: &str, reply: Option<&str>) -> (usize, String) {
+/// Sends one request to a proxy with two backends, each of which gives every request the same reply. Returns
+/// the number of attempts and the response to the client.
+fn request_with_two_backends(method: &str, path: &str, reply: Option<&str>) -> (usize, String) {
     let (one, other) = (backend(), backend());
     let proxy = Proxy::start(&[&one, &other]);
-    let (counted, count) = std::sync::mpsc::channel();
+    let (attempt_sender, attempts) = std::sync::mpsc::channel();
     for listener in [one, other] {
-        let (counted, reply) = (counted.clone(), reply.map(str::to_string));
+        let (attempt_sender, reply) = (attempt_sender.clone(), reply.map(str::to_string));
         std::thread::spawn(move || loop {
-            once_told(&listener, reply.as_deref(), || counted.send(()).unwrap_or_default());
+            serve_once_notifying(&listener, reply.as_deref(), || attempt_sender.send(()).unwrap_or_default());
         });
     }
-    let answer = proxy.fetch(&request(method, path, "4"));
-    (count.try_iter().count().max(1), answer)
+    let response = proxy.fetch(&request(method, path, "4"));
+    (attempts.try_iter().count().max(1), response)
 }
 
 #[test]
-fn what_may_have_run_once_is_sent_on_only_if_it_may_run_again() {
+fn a_request_that_may_have_run_is_retried_only_if_it_is_safe() {
     let error = response("500 Internal Server Error", "", "");
     let busy = response("503 Service Unavailable", "", "");
-    let turned_away = response("503 Service Unavailable", "Not-Started: 1\r\n", "");
-    let cut_short = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
-    for reply in [None, Some(&*error), Some(&*busy), Some(cut_short), Some("HTTP/9 what\r\n\r\n")] {
-        let (attempts, answer) = two_backends("POST", "/write", reply);
-        assert_eq!((attempts, status(&answer)), (1, 502), "{reply:?}");
-        let (attempts, answer) = two_backends("GET", "/read", reply);
-        assert_eq!((attempts, status(&answer)), (2, 503), "{reply:?}");
-        // Nothing of an answer that was not whole reaches a client as if it were.
-        assert!(!answer.contains("half"), "{answer}");
+    let not_started = response("503 Service Unavailable", "Not-Started: 1\r\n", "");
+    let truncated = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
+    for reply in [None, Some(&*error), Some(&*busy), Some(truncated), Some("HTTP/9 what\r\n\r\n")] {
+        let (attempts, response) = request_with_two_backends("POST", "/write", reply);
+        assert_eq!((attempts, status(&response)), (1, 502), "{reply:?}");
+        let (attempts, response) = request_with_two_backends("GET", "/read", reply);
+        assert_eq!((attempts, status(&response)), (2, 503), "{reply:?}");
+        // No part of an incomplete response reaches the client as if it were complete.
+        assert!(!response.contains("half"), "{response}");
     }
-    // Proven never to have run: it may be sent again and refused.
-    let (attempts, answer) = two_backends("POST", "/write", Some(&turned_away));
-    assert_eq!((attempts, status(&answer)), (2, 503));
-    assert!(answer.contains("Retry-After: 0."), "{answer}");
+    // The request is proven never to have run, so it may be retried and then refused.
+    let (attempts, response) = request_with_two_backends("POST", "/write", Some(&not_started));
+    assert_eq!((attempts, status(&response)), (2, 503));
+    assert!(response.contains("Retry-After: 0."), "{response}");
 }
 
-/// Guards against connections that a backend, or what lies between, drops early and without a word: what rides on
-/// one when that shows may have run.
+/// Guards against persistent connections that a backend, or a device in between, drops early and silently: a
+/// request that is on such a connection when this shows may have run.
 #[test]
-fn what_may_run_once_goes_on_a_new_connection_until_kept_ones_have_held_up() {
+fn at_most_once_requests_use_new_connections_until_persistent_ones_have_proved_reliable() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
-    // Answers one request and resets the connection under the next, whose sender can't tell whether it ran.
+    // Answers one request and closes the connection under the next one, whose sender can't tell whether it
+    // ran.
     std::thread::scope(|scope| {
-        let served = scope.spawn(|| {
+        let server = scope.spawn(|| {
             (0..4).for_each(|_| {
                 let mut conn = accept(&backend);
                 read_message(&mut conn);
@@ -167,7 +170,7 @@
         for (method, path) in [("GET", "/read"), ("POST", "/write"), ("POST", "/write"), ("GET", "/read")] {
             assert!(proxy.fetch(&request(method, path, "4")).ends_with("fine"), "{path}");
         }
-        served.join().unwrap();
+        server.join().unwrap();
         proxy.signal("-USR1");
         let counters = proxy.wait_for_log("counters=");
         assert!(counters.contains("ended_lost=1"), "{counters}");
@@ -175,25 +178,27 @@
     });
 }
 
-/// Guards against answers of the kind 1xx without end, which are no answer and yet keep an attempt waiting.
+/// Guards against endless interim responses (1xx), which answer nothing and yet keep an attempt waiting.
 #[test]
-fn words_on_the_way_are_passed_over_within_a_bound() {
-    let words = |count| "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(count);
+fn interim_responses_are_skipped_up_to_a_limit() {
+    let interim_responses = |count| "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(count);
     let fine = response("200 OK", "Server-Load: TEXT busy_reqs=?\r\n", "fine");
-    let (_, answer) = two_backends("POST", "/write", Some(&(words(8) + &fine)));
-    assert!(answer.ends_with("fine"), "{answer}");
-    for reply in
-        [words(9) + &fine, words(4000), "HTTP/1.1 101 Switching Protocols\r\n\r\n".to_string() + &fine]
-    {
-        let (_, answer) = two_backends("POST", "/write", Some(&reply));
-        assert_eq!(status(&answer), 502, "{answer}");
+    let (_, response) = request_with_two_backends("POST", "/write", Some(&(interim_responses(8) + &fine)));
+    assert!(response.ends_with("fine"), "{response}");
+    for reply in [
+        interim_responses(9) + &fine,
+        interim_responses(4000),
+        "HTTP/1.1 101 Switching Protocols\r\n\r\n".to_string() + &fine,
+    ] {
+        let (_, response) = request_with_two_backends("POST", "/write", Some(&reply));
+        assert_eq!(status(&response), 502, "{response}");
     }
 }
 
-/// Guards against a new process at an old address, or the same backend elsewhere, being sent what an old
-/// connection carries away.
+/// Guards against sending a request on an old connection after the backend has moved to another address, or a
+/// new process has taken over the old one.
 #[test]
-fn a_connection_to_an_earlier_run_of_a_backend_is_not_used_again() {
+fn a_connection_to_an_earlier_instance_of_a_backend_is_not_reused() {
     let (old, new) = (backend(), backend());
     let proxy = Proxy::start(&[&old]);
     let mut agent = accept(&proxy.discovery);
@@ -208,49 +213,49 @@
     read_message(&mut agent);
     write(&mut conn, &response("200 OK", "", "fine"));
     assert!(read_message(&mut client).ends_with("fine"));
-    assert_eq!(conn.read(&mut [0; 9]).unwrap(), 0, "it ends with what it carried");
+    assert_eq!(conn.read(&mut [0; 9]).unwrap(), 0, "the connection is closed after its request");
     std::thread::scope(|scope| {
-        scope.spawn(|| once(&new, Some(&response("200 OK", "", "fine"))));
+        scope.spawn(|| serve_once(&new, Some(&response("200 OK", "", "fine"))));
         assert!(proxy.fetch(&request("POST", "/write", "4")).ends_with("fine"));
     });
 }
 
-/// Guards against a bad request that goes from backend to backend and puts one after another out.
+/// Guards against a bad request that is retried on one backend after another and gets each of them ejected.
 #[test]
-fn what_a_backend_will_not_take_is_sent_once_and_blames_nobody() {
-    let refuses = response("400 Bad Request", "", "");
+fn a_request_that_a_backend_rejects_is_sent_once_and_blames_no_backend() {
+    let bad_request = response("400 Bad Request", "", "");
     for (method, path) in [("GET", "/read"), ("POST", "/write")] {
-        let (attempts, answer) = two_backends(method, path, Some(&refuses));
-        assert_eq!((attempts, status(&answer)), (1, 400));
-        assert!(answer.contains("Connection: close"), "{answer}");
+        let (attempts, response) = request_with_two_backends(method, path, Some(&bad_request));
+        assert_eq!((attempts, status(&response)), (1, 400));
+        assert!(response.contains("Connection: close"), "{response}");
     }
 }
 
-/// Guards against callers that say nothing, or half of something, holding their places for long.
+/// Guards against clients that send nothing, or half a request, occupying their slots for long.
 #[test]
-fn a_caller_that_sends_no_whole_request_is_let_go_within_three_seconds() {
+fn a_client_without_a_complete_request_is_disconnected_within_three_seconds() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
     let start = Instant::now();
-    let (mut silent, mut half, mut kept) = (proxy.connect(), proxy.connect(), proxy.connect());
+    let (mut silent, mut half, mut persistent) = (proxy.connect(), proxy.connect(), proxy.connect());
     write(&mut half, "GET /read HTTP/1.1\r\nHost:");
-    write(&mut kept, "GET /ready HTTP/1.1\r\n\r\n");
-    assert_eq!(status(&read_message(&mut kept)), 200);
+    write(&mut persistent, "GET /ready HTTP/1.1\r\n\r\n");
+    assert_eq!(status(&read_message(&mut persistent)), 200);
     assert_eq!(read_message(&mut silent), "");
     assert_eq!(status(&read_message(&mut half)), 408);
-    let stood = start.elapsed().as_millis();
-    assert!((2000..3000).contains(&stood), "{stood} ms");
-    // One that has had an answer keeps its place for longer.
-    write(&mut kept, "GET /ready HTTP/1.1\r\n\r\n");
-    assert_eq!(status(&read_message(&mut kept)), 200);
+    let open_ms = start.elapsed().as_millis();
+    assert!((2000..3000).contains(&open_ms), "{open_ms} ms");
+    // A client that has had a response may stay for longer.
+    write(&mut persistent, "GET /ready HTTP/1.1\r\n\r\n");
+    assert_eq!(status(&read_message(&mut persistent)), 200);
 }
 
 #[test]
-fn a_refused_connection_costs_an_at_most_once_request_nothing() {
-    let (gone, alive) = (refusing_backend(), backend());
-    let proxy = Proxy::start(&[&gone, &alive]);
+fn an_at_most_once_request_survives_a_refused_connection() {
+    let (refusing, alive) = (refusing_backend(), backend());
+    let proxy = Proxy::start(&[&refusing, &alive]);
     std::thread::scope(|scope| {
-        scope.spawn(|| (0..8).for_each(|_| drop(once(&alive, Some(&response("200 OK", "", "fine"))))));
+        scope.spawn(|| (0..8).for_each(|_| drop(serve_once(&alive, Some(&response("200 OK", "", "fine"))))));
         for _ in 0..8 {
             assert!(proxy.fetch(&request("POST", "/write", "4")).ends_with("fine"));
         }
@@ -258,20 +263,20 @@
 }
 
 #[test]
-fn an_idle_connection_that_the_backend_closed_is_not_used_again() {
+fn an_idle_connection_that_the_backend_closed_is_not_reused() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
     for _ in 0..5 {
         std::thread::scope(|scope| {
-            // Answers on a connection that it would keep, then closes it.
-            scope.spawn(|| once(&backend, Some(&response("200 OK", "", "fine"))));
+            // Announces a persistent connection in its response, then closes it.
+            scope.spawn(|| serve_once(&backend, Some(&response("200 OK", "", "fine"))));
             assert!(proxy.fetch(&request("POST", "/write", "4")).ends_with("fine"));
         });
     }
 }
 
 #[test]
-fn an_idle_connection_is_dropped_well_before_the_backend_would() {
+fn an_idle_connection_is_closed_well_before_the_backend_closes_it() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(5000, r#","connIdleMs":1000"#));
     let mut client = proxy.connect();
@@ -282,12 +287,12 @@
     read_message(&mut client);
     let start = Instant::now();
     assert_eq!(conn.read(&mut [0; 9]).unwrap(), 0);
-    let stood = start.elapsed().as_millis();
-    assert!((400..950).contains(&stood), "kept for a while, but not for long: {stood} ms");
+    let open_ms = start.elapsed().as_millis();
+    assert!((400..950).contains(&open_ms), "kept open for a while, but not for long: {open_ms} ms");
 }
 
 #[test]
-fn a_client_that_goes_away_ends_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
     let mut client = proxy.connect();
@@ -295,39 +300,39 @@
     let mut conn = accept(&backend);
     read_message(&mut conn);
     drop(client);
-    assert_eq!(conn.read(&mut [0; 9]).unwrap(), 0, "a cancel closes the connection");
+    assert_eq!(conn.read(&mut [0; 9]).unwrap(), 0, "cancelling the attempt closes the connection");
     proxy.signal("-USR1");
     let counters = proxy.wait_for_log("counters=");
     assert!(counters.contains(" left=1 ") && counters.contains("ended_cancelled=1"), "{counters}");
 }
 
 #[test]
-fn silence_is_answered_before_the_deadline() {
+fn requests_to_a_silent_backend_are_answered_before_the_deadline() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(400, ""));
     for (method, path, expected) in [("POST", "/write", 502), ("GET", "/read", 503)] {
         let start = Instant::now();
-        let answer = proxy.fetch(&request(method, path, "0.8"));
-        assert_eq!(status(&answer), expected, "{answer}");
+        let response = proxy.fetch(&request(method, path, "0.8"));
+        assert_eq!(status(&response), expected, "{response}");
         assert!(start.elapsed() < Duration::from_millis(800), "{:?}", start.elapsed());
     }
     let mut conn = accept(&backend);
     assert!(read_message(&mut conn).starts_with("POST /write"));
-    assert_eq!(conn.read(&mut [0; 9]).unwrap(), 0, "what is given up is closed");
+    assert_eq!(conn.read(&mut [0; 9]).unwrap(), 0, "the connection of an abandoned attempt is closed");
 }
 
-/// Guards against a lost backend costing the requests that are sent there their whole time.
+/// Guards against requests to an unreachable backend using up all their time there.
 #[test]
-fn what_goes_to_a_backend_that_is_lost_goes_on_to_another_in_time() {
-    let ((lost, _full), there) = (unreachable_backend(), backend());
-    let long = settings(3000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":8000");
-    let proxy = Proxy::start_with(&[&lost, &there], 1024, &long);
+fn requests_to_an_unreachable_backend_are_retried_on_another_in_time() {
+    let ((unreachable, _queued), reachable) = (unreachable_backend(), backend());
+    let long_connect_timeout = settings(3000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":8000");
+    let proxy = Proxy::start_with(&[&unreachable, &reachable], 1024, &long_connect_timeout);
     std::thread::spawn(move || loop {
-        once(&there, Some(&response("200 OK", "Connection: close\r\n", "fine")));
+        serve_once(&reachable, Some(&response("200 OK", "Connection: close\r\n", "fine")));
     });
     let served = || status(&proxy.fetch(&request("POST", "/write", "6"))) == 200;
-    assert!((0..20).any(|_| served()), "one connection has come up");
-    // Until it goes out, every second request or so meets the lost one.
+    assert!((0..20).any(|_| served()), "one connection is established");
+    // Until the unreachable backend is ejected, about every second request is sent to it.
     assert!((0..20).all(|_| served()));
     proxy.signal("-USR1");
     let counters = proxy.wait_for_log("counters=");
@@ -335,38 +340,38 @@
 }
 
 #[test]
-fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
-    let (backend, _full) = unreachable_backend();
-    let short = settings(5000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":100");
-    let proxy = Proxy::start_with(&[&backend], 1024, &short);
-    let answer = proxy.fetch(&request("POST", "/write", "4"));
-    assert_eq!(status(&answer), 503, "{answer}");
+fn a_connection_that_is_never_established_proves_that_nothing_ran() {
+    let (backend, _queued) = unreachable_backend();
+    let short_connect_timeout = settings(5000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":100");
+    let proxy = Proxy::start_with(&[&backend], 1024, &short_connect_timeout);
+    let response = proxy.fetch(&request("POST", "/write", "4"));
+    assert_eq!(status(&response), 503, "{response}");
     proxy.signal("-USR1");
     let counters = proxy.wait_for_log("counters=");
     assert!(!counters.contains("ended_connect_failed=0"), "{counters}");
 }
 
 #[test]
-fn it_goes_down_with_nothing_lost() {
+fn shutdown_loses_no_request() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
     assert_eq!(status(&proxy.fetch("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")), 200);
-    let (mut held, mut idle) = (proxy.connect(), proxy.connect());
-    let plain = || request("POST", "/write", "4").replace("Connection: close\r\n", "");
-    write(&mut held, &plain());
+    let (mut pending, mut idle) = (proxy.connect(), proxy.connect());
+    let persistent_request = || request("POST", "/write", "4").replace("Connection: close\r\n", "");
+    write(&mut pending, &persistent_request());
     let mut conn = accept(&backend);
     read_message(&mut conn);
     proxy.signal("-TERM");
     proxy.wait_for_log("signal");
-    // It still takes what comes, on old connections and new ones, but is ready no more.
+    // The proxy still serves requests on old and new connections, but reports that it is not ready.
     write(&mut idle, "GET /ready HTTP/1.1\r\n\r\n");
-    let unready = read_message(&mut idle);
-    assert!(status(&unready) == 503 && unready.contains("Connection: close"), "{unready}");
+    let not_ready = read_message(&mut idle);
+    assert!(status(&not_ready) == 503 && not_ready.contains("Connection: close"), "{not_ready}");
     let mut late = proxy.connect();
-    write(&mut late, &plain());
+    write(&mut late, &persistent_request());
     let mut second = accept(&backend);
     read_message(&mut second);
-    for (conn, client) in [(&mut conn, &mut held), (&mut second, &mut late)] {
+    for (conn, client) in [(&mut conn, &mut pending), (&mut second, &mut late)] {
         write(conn, &response("200 OK", "", "fine"));
         let text = read_message(client);
         assert!(text.contains("Connection: close") && text.ends_with("fine"), "{text}");
@@ -377,7 +382,7 @@
 }
 
 #[test]
-fn half_a_request_does_not_hold_it_back_from_going() {
+fn half_a_request_does_not_delay_shutdown() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &settings(200, ""));
     let mut client = proxy.connect();
@@ -392,7 +397,7 @@
 }
 
 #[test]
-fn the_watch_goes_on_at_once_and_binds() {
+fn the_watch_continues_at_once_and_its_lists_take_effect() {
     let (one, other) = (backend(), backend());
     let proxy = Proxy::start(&[&one, &other]);
     let mut agent = accept(&proxy.discovery);
@@ -401,51 +406,57 @@
         let dial = listener.local_addr().unwrap();
         format!(r#"{{"host":"{name}","dial":"{dial}","site":"a","health":"{health}","born_ms":0}}"#)
     };
-    let mut list = |seq: u32, whole: bool, hosts: String| loop {
-        let body = format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{hosts}]}}"#);
-        let told = Instant::now();
+    let mut send_list = |seq: u32, full: bool, hosts: String| loop {
+        let body = format!(r#"{{"seq":{seq},"whole":{full},"hosts":[{hosts}]}}"#);
+        let sent_at = Instant::now();
         let _ = agent.write_all(response("200 OK", "", &body).as_bytes());
-        let call = read_message(&mut agent);
-        if !call.is_empty() {
-            assert!(call.starts_with(&format!("GET /v1/endpoints?index={seq}&wait=")), "{call}");
-            return told.elapsed();
+        let list_request = read_message(&mut agent);
+        if !list_request.is_empty() {
+            assert!(
+                list_request.starts_with(&format!("GET /v1/endpoints?index={seq}&wait=")),
+                "{list_request}"
+            );
+            return sent_at.elapsed();
         }
-        // The test was so slow that the proxy took the watch for a silent one.
+        // The test was so slow that the proxy considered the watch silent and reconnected.
         agent = accept(&proxy.discovery);
         read_message(&mut agent);
     };
     let served_by = |listener: &TcpListener| {
         std::thread::scope(|scope| {
-            let seen =
-                scope.spawn(|| once(listener, Some(&response("200 OK", "Connection: close\r\n", "fine"))));
+            let seen = scope
+                .spawn(|| serve_once(listener, Some(&response("200 OK", "Connection: close\r\n", "fine"))));
             assert!(proxy.fetch(&request("POST", "/write", "4")).ends_with("fine"));
             seen.join().unwrap();
         });
     };
-    // A change: the first drains. Then the whole list without the second. Then a new address for the first.
-    assert!(list(7, false, host(&one, "h0", "Terminating")) < Duration::from_millis(200));
+    // A change: the first backend drains. Then a full list without the second. Then a new address for the
+    // first.
+    assert!(send_list(7, false, host(&one, "h0", "Terminating")) < Duration::from_millis(200));
     (0..4).for_each(|_| served_by(&other));
-    list(8, true, host(&one, "h0", "Ready"));
+    send_list(8, true, host(&one, "h0", "Ready"));
     (0..4).for_each(|_| served_by(&one));
     let moved = backend();
-    list(9, false, host(&moved, "h0", "Ready"));
+    send_list(9, false, host(&moved, "h0", "Ready"));
     served_by(&moved);
-    list(10, false, host(&moved, "h0", "Gone"));
+    send_list(10, false, host(&moved, "h0", "Gone"));
     assert_eq!(status(&proxy.fetch(&request("POST", "/write", "0.05"))), 503);
-    // Guards against spinning on an agent that does not wait, yet the watch must not lapse.
-    list(11, false, String::new());
-    assert!((90..200).contains(&list(12, false, String::new()).as_millis()));
+    // Guards against a busy loop with an agent that answers without waiting; the watch must continue all the
+    // same.
+    send_list(11, false, String::new());
+    assert!((90..200).contains(&send_list(12, false, String::new()).as_millis()));
 }
 
-/// Guards against an end by SIGHUP, and against asking one agent for what is newer than another's list.
+/// Guards against a process that SIGHUP ends, and against requesting from one agent the changes since a
+/// version of another agent's list.
 #[test]
-fn a_new_configuration_moves_the_watch_and_never_ends_it() {
+fn a_new_configuration_moves_the_watch_and_never_ends_the_process() {
     let (old, new, agents) = (backend(), backend(), [backend(), backend()]);
     let proxy = Proxy::start(&[&old]);
     let served_by = |listener: &TcpListener| {
         std::thread::scope(|scope| {
             let reply = response("200 OK", "Connection: close\r\n", "fine");
-            let seen = scope.spawn(move || once(listener, Some(&reply)));
+            let seen = scope.spawn(move || serve_once(listener, Some(&reply)));
             assert!(proxy.fetch(&request("POST", "/write", "4")).ends_with("fine"));
             seen.join().unwrap();
         });
@@ -456,7 +467,7 @@
         proxy.switch_agent(agent);
         let mut agent = accept(agent);
         assert!(read_message(&mut agent).starts_with("GET /v1/endpoints HTTP/1.1\r\n"));
-        // Until it answers, the old list serves.
+        // Until the new agent answers, the old list stays in use.
         served_by(if seq == 2 { &old } else { &new });
         let dial = backend.local_addr().unwrap();
         let host = format!(r#"{{"host":"s{seq}","dial":"{dial}","site":"a","health":"Ready"}}"#);
@@ -465,8 +476,8 @@
         assert!(read_message(&mut agent).starts_with(&format!("GET /v1/endpoints?index={seq}&")));
         served_by(backend);
     }
-    assert_eq!(first.read(&mut [0; 9]).unwrap(), 0, "the old agent is let go");
-    // What can't be used changes nothing, nor does the word to go after it come too late.
+    assert_eq!(first.read(&mut [0; 9]).unwrap(), 0, "the connection to the old agent is closed");
+    // An invalid configuration changes nothing, and a SIGTERM after it still takes effect.
     proxy.reconfigure("{");
     served_by(&old);
     proxy.signal("-TERM");
@@ -475,7 +486,7 @@
 }
 
 #[test]
-fn the_watch_goes_on_when_the_agent_closes_each_connection() {
+fn the_watch_continues_when_the_agent_closes_each_connection() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
     for seq in 4..8 {
@@ -486,7 +497,7 @@
             seq + 1
         );
         write(&mut agent, &response("200 OK", "", &body));
-        // It waits for the next call, so that the connection surely ends while that is out.
+        // Waits for the next request, so that the connection ends while that request is pending.
         read_message(&mut agent);
     }
     proxy.signal("-USR1");
@@ -495,12 +506,12 @@
 }
 
 #[test]
-fn a_lost_watch_is_asked_for_again() {
+fn a_lost_watch_is_requested_again() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
-    let nonsense = response("200 OK", "", "{}");
-    let unasked = response("200 OK", "", r#"{"seq":9,"whole":false,"hosts":[]}"#).repeat(9);
-    for reply in ["", &nonsense, &unasked] {
+    let malformed = response("200 OK", "", "{}");
+    let unsolicited = response("200 OK", "", r#"{"seq":9,"whole":false,"hosts":[]}"#).repeat(9);
+    for reply in ["", &malformed, &unsolicited] {
         let mut agent = accept(&proxy.discovery);
         assert!(read_message(&mut agent).starts_with("GET /v1/endpoints?index=4&wait="));
         write(&mut agent, reply);
@@ -513,20 +524,20 @@
     assert!(counters.contains(" lists_failed=3 "), "{counters}");
 }
 
-/// Guards against odd lists, whatever discovery makes of the fleet: each costs a line, and requests are served.
+/// Guards against odd lists from discovery: each one causes a log line, and requests are still served.
 #[test]
-fn odd_lists_cost_a_line_and_no_request() {
-    let there = backend();
-    let dial = there.local_addr().unwrap();
-    let proxy = Proxy::start(&[&there]);
+fn odd_lists_are_logged_and_fail_no_request() {
+    let backend = backend();
+    let dial = backend.local_addr().unwrap();
+    let proxy = Proxy::start(&[&backend]);
     std::thread::spawn(move || loop {
-        once(&there, Some(&response("200 OK", "Connection: close\r\n", "fine")));
+        serve_once(&backend, Some(&response("200 OK", "Connection: close\r\n", "fine")));
     });
     let host = |name: &str, site: &str| {
         format!(r#"{{"host":"{name}","dial":"{dial}","site":"{site}","health":"Ready"}}"#)
     };
     let many = |count: usize| (0..count).map(|n| host(&format!("h{n}"), "a")).collect::<Vec<_>>().join(",");
-    let lists = [
+    let lists_with_log_lines = [
         (9, String::new(), "no backend at all"),
         (10, format!("{},{}", host("h0", "a"), host("h0", "a")), "a backend twice"),
         (11, host("h0", "elsewhere"), "a zone that the settings"),
@@ -534,46 +545,47 @@
         (12, many(30_000), "listed"),
         (13, host("h0", "a"), "less than half"),
     ];
-    // An agent that tells each proxy that asks what is newer than it has, however often it asks.
+    // An agent that answers each request with the current list once that differs from the version in
+    // the request.
     let current = Arc::new(Mutex::new((4, String::new())));
-    let (agents, told) = (proxy.discovery.try_clone().unwrap(), current.clone());
+    let (agents, latest) = (proxy.discovery.try_clone().unwrap(), current.clone());
     std::thread::spawn(move || loop {
         let mut agent = accept(&agents);
-        let call = read_message(&mut agent);
+        let list_request = read_message(&mut agent);
         let body = loop {
-            let (seq, body) = told.lock().unwrap().clone();
-            if !call.contains(&format!("index={seq}&")) {
+            let (seq, body) = latest.lock().unwrap().clone();
+            if !list_request.contains(&format!("index={seq}&")) {
                 break body;
             }
             std::thread::sleep(Duration::from_millis(5));
         };
         let _ = agent.write_all(response("200 OK", "Connection: close\r\n", &body).as_bytes());
     });
-    for (seq, hosts, line) in lists {
+    for (seq, hosts, line) in lists_with_log_lines {
         *current.lock().unwrap() = (seq, format!(r#"{{"seq":{seq},"whole":true,"hosts":[{hosts}]}}"#));
         proxy.wait_for_log(line);
         assert_eq!(status(&proxy.fetch(&request("POST", "/write", "4"))), 200, "{line}");
     }
 }
 
-/// Guards against a watch that falls silent with its connection open: changes are then seen by nobody.
+/// Guards against a watch that stays silent on an open connection, so that changes go unnoticed.
 #[test]
-fn a_watch_that_falls_silent_is_soon_left_for_another() {
+fn a_silent_watch_is_soon_replaced() {
     let backend = backend();
     let proxy = Proxy::start(&[&backend]);
     let mut silent = accept(&proxy.discovery);
     assert!(read_message(&mut silent).starts_with("GET /v1/endpoints?index=4&wait="));
-    proxy.wait_for_log("discovery failed"); // in the time that the helper has for a line
+    proxy.wait_for_log("discovery failed"); // within the helper's timeout for a log line
     let mut agent = accept(&proxy.discovery);
     assert!(read_message(&mut agent).starts_with("GET /v1/endpoints?index=4&wait="));
-    assert_eq!(silent.read(&mut [0; 9]).unwrap(), 0, "the silent one is let go");
+    assert_eq!(silent.read(&mut [0; 9]).unwrap(), 0, "the silent connection is closed");
 }
 
 #[test]
-fn reports_are_asked_for_where_instances_outnumber_backends() {
+fn load_reports_are_requested_where_instances_outnumber_backends() {
     let (one, other) = (backend(), backend());
-    let asks = settings(5000, r#","probes":true"#).replace("\"balancers\":1", "\"balancers\":9");
-    let proxy = Proxy::start_with(&[&one, &other], 1024, &asks);
+    let with_probes = settings(5000, r#","probes":true"#).replace("\"balancers\":1", "\"balancers\":9");
+    let proxy = Proxy::start_with(&[&one, &other], 1024, &with_probes);
     let mut client = proxy.connect();
     write(&mut client, &request("GET", "/read", "4"));
     let mut conns = [accept(&one), accept(&other)];
@@ -584,58 +596,59 @@
     proxy.signal("-USR1");
     assert!(proxy.wait_for_log("counters=").contains(" checks=2 "));
     // The request comes on one of the two idle connections, and the other stays open. Guards against closing
-    // an idle connection for an event that tells of bytes which were read already.
-    let (sent, seen) = std::sync::mpsc::channel();
+    // an idle connection because of a readiness event for bytes that were already read.
+    let (sender, received) = std::sync::mpsc::channel();
     for mut conn in conns {
-        let sent = sent.clone();
+        let sender = sender.clone();
         std::thread::spawn(move || {
-            let seen = read_message(&mut conn);
+            let message = read_message(&mut conn);
             let _ = conn.write_all(response("200 OK", "", "fine").as_bytes());
-            let _ = sent.send(seen);
+            let _ = sender.send(message);
         });
     }
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
     assert!(text.ends_with("fine"), "{text}");
-    assert!(seen.recv().unwrap().starts_with("GET /read HTTP/1.1\r\n"));
-    assert!(seen.try_recv().is_err());
+    assert!(received.recv().unwrap().starts_with("GET /read HTTP/1.1\r\n"));
+    assert!(received.try_recv().is_err());
 }
 
 #[test]
-fn running_out_of_descriptors_loses_nothing() {
+fn running_out_of_descriptors_loses_no_request() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 64, &settings(300, ""));
-    // More idle connections than it has room for, and of some only half a request.
-    let mut crowd: Vec<_> = (0..90).map(|_| proxy.connect()).collect();
-    crowd.iter_mut().step_by(3).for_each(|client| drop(client.write_all(b"GET /read HT")));
-    // More requests at once than it can send on or even accept: each is answered all the same.
+    // More idle connections than the proxy has capacity for, some of them with half a request.
+    let mut idle_clients: Vec<_> = (0..90).map(|_| proxy.connect()).collect();
+    idle_clients.iter_mut().step_by(3).for_each(|client| drop(client.write_all(b"GET /read HT")));
+    // More requests at once than the proxy can forward or even accept: each gets a response all the
+    // same.
     let clients: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
     let text = request("GET", "/read", "5");
     for mut client in &clients {
         client.write_all(request("GET", "/read", "5").as_bytes()).unwrap();
     }
     for mut client in &clients {
-        let mut answer = String::new();
-        client.read_to_string(&mut answer).unwrap();
-        assert_eq!(status(&answer), 503, "{answer}");
+        let mut response = String::new();
+        client.read_to_string(&mut response).unwrap();
+        assert_eq!(status(&response), 503, "{response}");
     }
-    drop((crowd, clients));
+    drop((idle_clients, clients));
     std::thread::spawn(move || loop {
-        once(&backend, Some(&response("200 OK", "", "fine")));
+        serve_once(&backend, Some(&response("200 OK", "", "fine")));
     });
-    assert!((0..50).any(|_| proxy.fetch(&text).ends_with("fine")), "it serves as before");
+    assert!((0..50).any(|_| proxy.fetch(&text).ends_with("fine")), "the proxy serves as before");
     proxy.wait_for_log("client limit reached, new connections wait");
     proxy.wait_for_log("accepting new clients again");
     proxy.signal("-TERM");
     assert_eq!(proxy.wait_for_exit(), Some(0));
 }
 
-/// Guards against those who ask whether it is ready, and stay, taking the places of all others.
+/// Guards against clients that check readiness once and stay connected occupying the slots of all others.
 #[test]
-fn a_crowd_that_asks_once_and_stays_keeps_nobody_out() {
+fn clients_that_stay_after_a_readiness_check_do_not_keep_others_out() {
     let backend = backend();
     let proxy = Proxy::start_with(&[&backend], 64, &settings(5000, ""));
-    let crowd: Vec<_> = (0..90)
+    let idle_clients: Vec<_> = (0..90)
         .map(|_| {
             let mut client = proxy.connect();
             write(&mut client, "GET /ready HTTP/1.1\r\n\r\n");
@@ -645,42 +658,43 @@
         .collect();
     let start = Instant::now();
     std::thread::scope(|scope| {
-        scope.spawn(|| once(&backend, Some(&response("200 OK", "", "fine"))));
+        scope.spawn(|| serve_once(&backend, Some(&response("200 OK", "", "fine"))));
         assert!(proxy.fetch(&request("GET", "/read", "4")).ends_with("fine"));
     });
     assert!(
         start.elapsed() < Duration::from_millis(1500),
-        "well before any of them is let go for its silence"
+        "well before any of them is closed for its silence"
     );
-    drop(crowd);
+    drop(idle_clients);
 }
 
 #[test]
-fn idle_callers_do_not_keep_others_out_where_descriptors_are_short() {
+fn idle_clients_do_not_keep_others_out_when_descriptors_are_short() {
     let backend = backend();
     let proxy = Proxy::start_limited(&[&backend], 1024, 40, &settings(5000, ""));
     let idle: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
     proxy.wait_for_log("cannot accept");
     std::thread::spawn(move || loop {
-        once(&backend, Some(&response("200 OK", "", "fine")));
+        serve_once(&backend, Some(&response("200 OK", "", "fine")));
     });
     assert!(proxy.fetch(&request("GET", "/read", "9")).ends_with("fine"));
     drop(idle);
 }
 
 #[test]
-fn an_unusable_configuration_ends_it_with_one_line() {
+fn an_invalid_configuration_ends_the_process_with_one_log_line() {
     let (child, _) = spawn_proxy("{\"name\": 3}", 64, &new_config_path(), &[]);
     let output = child.wait_with_output().unwrap();
     let text = String::from_utf8(output.stderr).unwrap();
     assert_eq!((output.status.code(), text.lines().count()), (Some(1), 1), "{text}");
 }
 
+/// Guards against a limit on the number of clients: a table of them once held fewer than this test connects.
 #[test]
-fn more_callers_than_a_table_once_held_stay_connected_and_are_answered() {
+fn six_thousand_clients_stay_connected_and_are_answered() {
     let listener = backend();
     let proxy = Proxy::start_with(&[&listener], 11_000, &settings(5000, ""));
-    let serve = std::thread::spawn(move || {
+    let server = std::thread::spawn(move || {
         let mut served = 0;
         while served < 6_001 {
             let mut conn = accept(&listener);
@@ -690,18 +704,19 @@
             }
         }
     });
-    let ask = |client: &mut std::net::TcpStream, n| {
+    let send_numbered = |client: &mut std::net::TcpStream, n| {
         write(client, &format!("GET /read HTTP/1.1\r\nHost: a\r\nRequest-Id: many{n}\r\n\r\n"));
-        assert!(read_message(client).starts_with("HTTP/1.1 200"), "caller {n}");
+        assert!(read_message(client).starts_with("HTTP/1.1 200"), "client {n}");
     };
-    // Each asks as soon as it is there: one that says nothing at first has 2.3 s, whatever the machine is busy with.
-    let asked = |n| {
+    // Each client sends a request as soon as it is connected: a silent one is closed after 2.3 s, however
+    // busy the machine is.
+    let connect = |n| {
         let mut client = proxy.connect();
-        ask(&mut client, n);
+        send_numbered(&mut client, n);
         client
     };
-    let mut callers: Vec<_> = (0..6_000).map(asked).collect();
-    // The first one is still there when the last has been answered.
-    ask(&mut callers[0], 6_000);
-    serve.join().unwrap();
+    let mut clients: Vec<_> = (0..6_000).map(connect).collect();
+    // The first client is still connected when the last one has been answered.
+    send_numbered(&mut clients[0], 6_000);
+    server.join().unwrap();
 }
--- a/crates/proxy/tests/transfer_failures.rs
+++ b/crates/proxy/tests/transfer_failures.rs
@@ -1,4 +1,5 @@
-//! Reads and writes fail, are interrupted or move little: no request is lost, and none runs twice.
+//! Reads and writes that fail, are interrupted or transfer few bytes: no request is lost, and none runs
+//! twice.
 
 mod helper;
 
@@ -7,11 +8,13 @@
 use helper::shim::{errno, Fault, Shim, SystemCall};
 use helper::{backend, keep_alive_request, read_message, serve, settings, write};
 
-const SOON: Duration = Duration::from_millis(500);
+/// Longest time that a response may take.
+const MAX_DELAY: Duration = Duration::from_millis(500);
 const REQUESTS: usize = 6;
 
-/// Asks on one connection while the fault lasts, at the clients' side or the backends', and counts the runs.
-fn every_request_is_answered_and_runs_once(fault: Fault, at_backend: bool) {
+/// Sends requests on one connection while a fault is in force on the client's or the backend's side. Checks
+/// that each is answered and runs once.
+fn check_answered_and_run_once(fault: Fault, at_backend: bool) {
     for (method, path) in [("GET", "/read"), ("POST", "/write")] {
         let listener = backend();
         let backend_port = listener.local_addr().unwrap().port();
@@ -24,10 +27,10 @@
             let text = keep_alive_request(method, path);
             let start = Instant::now();
             write(&mut client, &text);
-            let answered = read_message(&mut client);
-            let case = format!("{fault:?} {method}: {answered:?} after {:?}", start.elapsed());
-            assert!(answered.ends_with("fine"), "{case}");
-            assert!(start.elapsed() < SOON, "{case}");
+            let reply = read_message(&mut client);
+            let case = format!("{fault:?} {method}: {reply:?} after {:?}", start.elapsed());
+            assert!(reply.ends_with("fine"), "{case}");
+            assert!(start.elapsed() < MAX_DELAY, "{case}");
             assert_eq!(arrivals.with_id(helper::request_id(&text)).len(), 1, "{case}");
         }
         assert!(shim.hits(fault.call) > 0, "{fault:?}");
@@ -35,38 +38,29 @@
 }
 
 #[test]
-fn a_call_that_fails_for_want_of_memory_is_made_again() {
+fn a_call_that_fails_for_lack_of_memory_is_retried() {
     for error in [errno::ENOBUFS, errno::ENOMEM] {
         for call in [SystemCall::Read, SystemCall::Write] {
             for at_backend in [false, true] {
-                every_request_is_answered_and_runs_once(
-                    Fault::with_error(call, error, 12).one_in(2),
-                    at_backend,
-                );
+                check_answered_and_run_once(Fault::with_error(call, error, 12).one_in(2), at_backend);
             }
         }
     }
 }
 
 #[test]
-fn interrupted_calls_are_made_again() {
+fn interrupted_calls_are_retried() {
     for call in [SystemCall::Read, SystemCall::Write] {
         for at_backend in [false, true] {
-            every_request_is_answered_and_runs_once(
-                Fault::with_error(call, errno::EINTR, 200).one_in(2),
-                at_backend,
-            );
+            check_answered_and_run_once(Fault::with_error(call, errno::EINTR, 200).one_in(2), at_backend);
         }
     }
-    every_request_is_answered_and_runs_once(
-        Fault::with_error(SystemCall::EpollWait, errno::EINTR, 2000),
-        false,
-    );
+    check_answered_and_run_once(Fault::with_error(SystemCall::EpollWait, errno::EINTR, 2000), false);
 }
 
-/// Guards against a call that is made again without end, while everybody else waits.
+/// Guards against retrying an interrupted call without end, while all other connections wait.
 #[test]
-fn a_call_that_is_always_interrupted_holds_nobody_up() {
+fn a_call_that_is_always_interrupted_blocks_no_other_connection() {
     for (call, at_backend) in [(SystemCall::Read, false), (SystemCall::Read, true), (SystemCall::Write, true)]
     {
         let listener = backend();
@@ -79,12 +73,12 @@
         read_message(&mut conn);
         let port = if at_backend { backend_port } else { client_port };
         shim.inject(Fault::with_error(call, errno::EINTR, u32::MAX).on_port(port));
-        let mut other = proxy.connect();
-        write(&mut other, &helper::request("GET", "/read", "0.5"));
-        write(&mut conn, "HTTP/1.1 200"); // has the proxy read there
+        let mut other_client = proxy.connect();
+        write(&mut other_client, &helper::request("GET", "/read", "0.5"));
+        write(&mut conn, "HTTP/1.1 200"); // makes the proxy read from the backend
         let start = Instant::now();
-        let answered = read_message(&mut client);
-        assert!(answered.starts_with("HTTP/1.1 50"), "{call:?}: {answered:?}");
+        let reply = read_message(&mut client);
+        assert!(reply.starts_with("HTTP/1.1 50"), "{call:?}: {reply:?}");
         assert!(start.elapsed() < Duration::from_millis(700), "{call:?}: after {:?}", start.elapsed());
         shim.clear(call);
     }
@@ -94,24 +88,21 @@
 fn short_reads_and_writes_lose_nothing() {
     for call in [SystemCall::Read, SystemCall::Write] {
         for at_backend in [false, true] {
-            for bytes in [1, 7] {
-                every_request_is_answered_and_runs_once(
-                    Fault::short_transfer(call, bytes, u32::MAX),
-                    at_backend,
-                );
+            for max_bytes in [1, 7] {
+                check_answered_and_run_once(Fault::short_transfer(call, max_bytes, u32::MAX), at_backend);
             }
         }
     }
 }
 
 #[test]
-fn a_log_that_cannot_be_written_costs_no_request() {
+fn a_failing_log_loses_no_request() {
     for error in [errno::ENOSPC, errno::EIO, errno::EINTR, errno::EAGAIN, errno::EPIPE] {
         let listener = backend();
         let (proxy, shim) = Shim::start(&[&listener], &settings(1000, ""));
         serve(listener);
         shim.inject(Fault::with_error(SystemCall::LogWrite, error, 10));
-        proxy.signal("-USR1"); // prints the counters
+        proxy.signal("-USR1"); // makes the proxy log its counters
         shim.wait_for_hits(SystemCall::LogWrite, 1);
         let mut client = proxy.connect();
         for _ in 0..REQUESTS {
@@ -124,9 +115,9 @@
     }
 }
 
-/// Guards against missing the end of a client behind a read that failed for a moment.
+/// Guards against missing that a client has closed its connection because a read failed at that moment.
 #[test]
-fn a_client_that_leaves_while_reads_fail_has_left() {
+fn a_client_that_leaves_while_reads_fail_is_noticed() {
     let listener = backend();
     let (proxy, shim) = Shim::start(&[&listener], &settings(5000, ""));
     let client_port = proxy.address.rsplit(':').next().unwrap().parse().unwrap();
@@ -136,15 +127,16 @@
     read_message(&mut conn);
     shim.inject(Fault::with_error(SystemCall::Read, errno::ENOMEM, 4).on_port(client_port));
     helper::close(client);
-    // Its attempt is cancelled, which closes the connection to the backend.
-    conn.set_read_timeout(Some(SOON)).unwrap();
-    assert_eq!(std::io::Read::read(&mut conn, &mut [0]).ok(), Some(0), "the attempt goes on");
+    // The attempt is cancelled, which closes the connection to the backend.
+    conn.set_read_timeout(Some(MAX_DELAY)).unwrap();
+    assert_eq!(std::io::Read::read(&mut conn, &mut [0]).ok(), Some(0), "the attempt is not cancelled");
     assert_eq!(helper::counter(&proxy, "left"), 1);
 }
 
-/// Guards against a connection whose small writes wait for its whole life because an option could not be set once.
+/// Guards against a connection whose small writes are delayed (no `TCP_NODELAY`) for all its life because
+/// setting the option failed once.
 #[test]
-fn an_option_that_could_not_be_set_is_set_later() {
+fn a_socket_option_that_could_not_be_set_is_set_later() {
     let listener = backend();
     let (proxy, shim) = Shim::start(&[&listener], &settings(1000, ""));
     serve(listener);
@@ -158,9 +150,10 @@
     shim.wait_for_hits(SystemCall::SetOption, 2);
 }
 
-/// Guards against a read that failed once making a request old whose last byte comes much later.
+/// Guards against counting the time of a request from an earlier failed read: its time starts with its last
+/// byte, even if that comes much later.
 #[test]
-fn a_request_counts_from_its_last_byte_though_a_read_failed_before() {
+fn the_time_of_a_request_starts_with_its_last_byte_despite_an_earlier_failed_read() {
     let listener = backend();
     let (proxy, shim) = Shim::start(&[&listener], &settings(1000, ""));
     serve(listener);
@@ -168,8 +161,8 @@
     let mut client = proxy.connect();
     shim.inject(Fault::with_error(SystemCall::Read, errno::ENOMEM, 1).on_port(client_port));
     let text = helper::request("GET", "/read", "0.5");
-    let (half, rest) = text.split_at(text.len() / 2);
-    write(&mut client, half);
+    let (first_half, rest) = text.split_at(text.len() / 2);
+    write(&mut client, first_half);
     shim.wait_for_hits(SystemCall::Read, 1);
     std::thread::sleep(Duration::from_millis(1_000));
     write(&mut client, rest);
