--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -28,8 +28,7 @@
         size: 1.0,
     };
     let address = "127.0.0.1:1".parse().unwrap();
-    let entry =
-        BackendEntry { host: host.to_string(), address: address, listed_start: Some(timestamp), listing };
+    let entry = BackendEntry { host: host.to_string(), address, listed_start: Some(timestamp), listing };
     let mut list = BackendList { version: 1, full: false, entries: vec![entry] };
     starts.correct(&mut list, now);
     list.entries[0].listing.started.unwrap()
