--- a/crates/proxy/tests/mixed_topologies.rs
+++ b/crates/proxy/tests/mixed_topologies.rs
@@ -1,5 +1,6 @@
-//! Proxies of two shapes before the same backends: few for all callers, as before a move, and one beside each
-//! caller, which send keys to their homes and tell each other what they see.
+//! Proxies of two topologies before the same backends, as during a migration: a few shared by all clients,
+//! and one beside each client (sidecars), which route each key to its preferred backends and share their
+//! observations.
 
 mod helper;
 
@@ -12,72 +13,73 @@
 
 use helper::{fetch, read_message, response, Proxy};
 
-const BACKENDS: usize = 6;
-const WORK: Duration = Duration::from_millis(4);
-const KEYS: u64 = 24;
+const BACKEND_COUNT: usize = 6;
+const SERVICE_TIME: Duration = Duration::from_millis(4);
+const KEY_COUNT: u64 = 24;
 
-/// A stand-in that works on one request at a time and notes what it ran, and when.
+/// A backend that processes one request at a time and records what it ran, and when.
 #[derive(Default)]
-struct StandIn {
-    core: Mutex<()>,
-    held: Mutex<usize>,
+struct RecordingBackend {
+    worker: Mutex<()>,
+    in_flight: Mutex<usize>,
     ran: Mutex<Vec<(String, Option<String>, Instant)>>,
-    /// It breaks all connections once what it was asked has run.
-    breaks: AtomicBool,
+    /// Whether it closes each connection without a response once the request has run.
+    breaks_off: AtomicBool,
 }
 
-fn field(head: &str, name: &str) -> Option<String> {
+fn header(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| Some(line.strip_prefix(name)?.trim().to_string()))
 }
 
-impl StandIn {
+impl RecordingBackend {
     fn serve(&self, mut conn: TcpStream) {
         loop {
             let request = read_message(&mut conn);
-            let Some(id) = field(&request, "Request-Id:") else { return };
-            let came = Instant::now();
-            *self.held.lock().unwrap() += 1;
-            let core = self.core.lock().unwrap();
-            self.ran.lock().unwrap().push((id, field(&request, "Request-Key:"), came));
-            std::thread::sleep(WORK);
-            drop(core);
-            let held = {
-                let mut held = self.held.lock().unwrap();
-                *held -= 1;
-                *held
+            let Some(id) = header(&request, "Request-Id:") else { return };
+            let arrived = Instant::now();
+            *self.in_flight.lock().unwrap() += 1;
+            let worker = self.worker.lock().unwrap();
+            self.ran.lock().unwrap().push((id, header(&request, "Request-Key:"), arrived));
+            std::thread::sleep(SERVICE_TIME);
+            drop(worker);
+            let in_flight = {
+                let mut in_flight = self.in_flight.lock().unwrap();
+                *in_flight -= 1;
+                *in_flight
             };
-            if self.breaks.load(Ordering::Relaxed) {
+            if self.breaks_off.load(Ordering::Relaxed) {
                 return;
             }
-            let load = format!("Server-Load: TEXT inflight={held}\r\n");
+            let load = format!("Server-Load: TEXT inflight={in_flight}\r\n");
             if conn.write_all(response("200 OK", &load, "ok").as_bytes()).is_err() {
                 return;
             }
         }
     }
 
-    fn start() -> (Arc<StandIn>, String) {
-        let (listener, stand_in) = (TcpListener::bind("127.0.0.1:0").unwrap(), Arc::new(StandIn::default()));
+    fn start() -> (Arc<RecordingBackend>, String) {
+        let (listener, backend) =
+            (TcpListener::bind("127.0.0.1:0").unwrap(), Arc::new(RecordingBackend::default()));
         let address = listener.local_addr().unwrap().to_string();
-        let served = stand_in.clone();
+        let serving = backend.clone();
         std::thread::spawn(move || {
             for conn in listener.incoming().map_while(Result::ok) {
                 conn.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-                let served = served.clone();
-                std::thread::spawn(move || served.serve(conn));
+                let serving = serving.clone();
+                std::thread::spawn(move || serving.serve(conn));
             }
         });
-        (stand_in, address)
+        (backend, address)
     }
 }
 
-/// A configuration for one proxy before these backends, of which the first may drain.
+/// The configuration of one proxy before these backends, of which the first drains if `drains` is set.
 fn config(backends: &[String], drains: bool, tier: &str, more: &str) -> String {
     let mut text = String::from("name = \"m\"\n[[listener]]\naddress = \"127.0.0.1:0\"\n[discovery]\n");
-    for (place, address) in backends.iter().enumerate() {
-        let drains = drains && place == 0;
+    for (index, address) in backends.iter().enumerate() {
+        let drains = drains && index == 0;
         text += &format!(
-            "[[discovery.backend]]\nname = \"s-{place}\"\naddress = \"{address}\"\ndrains = {drains}\n"
+            "[[discovery.backend]]\nname = \"s-{index}\"\naddress = \"{address}\"\ndrains = {drains}\n"
         );
     }
     text + &format!("[tier]\n{tier}\n[backends]\nprobes = false\n{more}\n")
@@ -86,43 +88,45 @@
            [tariff.write]\ngoal = \"1s\"\ncut_off = \"2s\"\neffect = \"at-most-once\"\n"
 }
 
-/// Held from when addresses are found free until they are taken: guards against another test's finding them.
-static STARTING: Mutex<()> = Mutex::new(());
+/// Locked from when addresses are found free until they are bound: guards against another test that finds the
+/// same ones.
+static ADDRESS_LOCK: Mutex<()> = Mutex::new(());
 
-/// Free addresses, each held until all are found.
+/// Free addresses, each kept bound until all are found.
 fn addresses(count: usize) -> Vec<String> {
-    let held: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-    held.iter().map(|socket| socket.local_addr().unwrap().to_string()).collect()
+    let sockets: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+    sockets.iter().map(|socket| socket.local_addr().unwrap().to_string()).collect()
 }
 
-/// One caller: asks one request after another until the time is up, and notes each with its status.
-fn caller(address: &str, number: usize, until: Instant) -> Vec<(String, bool, u16)> {
-    let mut asked = Vec::new();
-    for turn in 0_u64.. {
-        if Instant::now() >= until {
+/// One client: sends one request after another until `deadline`. Returns the id of each, whether it writes,
+/// and its status.
+fn run_client(address: &str, number: usize, deadline: Instant) -> Vec<(String, bool, u16)> {
+    let mut requests = Vec::new();
+    for sequence in 0_u64.. {
+        if Instant::now() >= deadline {
             break;
         }
-        let id = format!("{number:04x}{turn:08x}");
-        let (write, key) = (turn % 3 == 0, (turn * 7 + number as u64) % KEYS);
+        let id = format!("{number:04x}{sequence:08x}");
+        let (write, key) = (sequence % 3 == 0, (sequence * 7 + number as u64) % KEY_COUNT);
         let (method, path) = if write { ("POST", "write") } else { ("GET", "read") };
         let text = format!(
             "{method} /{path} HTTP/1.1\r\nHost: h\r\nRequest-Id: {id}\r\nRequest-Key: k{key}\r\n\
              Request-Timeout: 2.0\r\nConnection: close\r\n\r\n"
         );
-        let all = fetch(address, &text);
-        assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "one answer for {id}: {all:?}");
-        asked.push((id, write, all[9..12].parse().unwrap()));
+        let received = fetch(address, &text);
+        assert_eq!(received.matches("HTTP/1.1 ").count(), 1, "one response for {id}: {received:?}");
+        requests.push((id, write, received[9..12].parse().unwrap()));
     }
-    asked
+    requests
 }
 
-/// Asks all proxies from as many callers each; what was asked, by proxy.
-fn ask_all(proxies: &[Proxy], callers: usize, long: Duration) -> Vec<Vec<(String, bool, u16)>> {
-    let until = Instant::now() + long;
-    let start = |(place, proxy): (usize, &Proxy)| {
-        let threads = (0..callers).map(|n| {
-            let (address, number) = (proxy.address.clone(), place * callers + n);
-            std::thread::spawn(move || caller(&address, number, until))
+/// Sends requests to all proxies, each from `clients` clients. Returns the requests of each proxy.
+fn run_clients(proxies: &[Proxy], clients: usize, duration: Duration) -> Vec<Vec<(String, bool, u16)>> {
+    let deadline = Instant::now() + duration;
+    let start = |(index, proxy): (usize, &Proxy)| {
+        let threads = (0..clients).map(|n| {
+            let (address, number) = (proxy.address.clone(), index * clients + n);
+            std::thread::spawn(move || run_client(&address, number, deadline))
         });
         threads.collect::<Vec<_>>()
     };
@@ -133,98 +137,118 @@
     started.into_iter().map(joined).collect()
 }
 
-fn shapes(addresses: &[String]) -> Vec<(String, &'static str)> {
+/// The `[tier]` section and the further backend settings of each proxy: two shared ones, then one sidecar per
+/// address.
+fn topologies(addresses: &[String]) -> Vec<(String, &'static str)> {
     let peers = format!("{addresses:?}");
-    let old = (0..2).map(|n| (format!("proxies = 2\nordinal = {n}"), ""));
-    let new = (0..addresses.len()).map(|n| {
+    let shared = (0..2).map(|n| (format!("proxies = 2\nordinal = {n}"), ""));
+    let sidecar = (0..addresses.len()).map(|n| {
         (format!("proxies = {}\nordinal = {n}\npeers = {peers}", addresses.len()), "remember_keys = true")
     });
-    old.chain(new).collect()
+    shared.chain(sidecar).collect()
 }
 
 #[test]
-fn while_some_proxies_are_of_the_old_shape_and_some_of_the_new_the_rules_hold_and_none_starves() {
-    let (backends, dials): (Vec<_>, Vec<_>) = (0..BACKENDS).map(|_| StandIn::start()).unzip();
-    let starting = STARTING.lock().unwrap_or_else(|held| held.into_inner());
-    let shapes = shapes(&addresses(4));
-    let proxies: Vec<_> =
-        shapes.iter().map(|(tier, more)| Proxy::start_native(&config(&dials, false, tier, more))).collect();
-    drop(starting);
-    // One backend breaks what it has run, for good; later another is to drain.
-    let breaking = backends[BACKENDS - 1].clone();
-    let breaks = std::thread::spawn(move || {
+fn shared_and_sidecar_proxies_together_keep_the_guarantees_and_none_starves() {
+    let (backends, backend_addresses): (Vec<_>, Vec<_>) =
+        (0..BACKEND_COUNT).map(|_| RecordingBackend::start()).unzip();
+    let address_lock = ADDRESS_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let topologies = topologies(&addresses(4));
+    let proxies: Vec<_> = topologies
+        .iter()
+        .map(|(tier, more)| Proxy::start_native(&config(&backend_addresses, false, tier, more)))
+        .collect();
+    drop(address_lock);
+    // One backend starts to break off all responses; later another one drains.
+    let broken = backends[BACKEND_COUNT - 1].clone();
+    let breaks_off = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(400));
-        breaking.breaks.store(true, Ordering::Relaxed);
+        broken.breaks_off.store(true, Ordering::Relaxed);
     });
-    let mut asked = ask_all(&proxies, 3, Duration::from_millis(1200));
-    breaks.join().unwrap();
-    for (proxy, (tier, more)) in proxies.iter().zip(&shapes) {
-        proxy.reconfigure(&config(&dials, true, tier, more));
+    let mut requests = run_clients(&proxies, 3, Duration::from_millis(1200));
+    breaks_off.join().unwrap();
+    for (proxy, (tier, more)) in proxies.iter().zip(&topologies) {
+        proxy.reconfigure(&config(&backend_addresses, true, tier, more));
     }
     let drained = Instant::now() + Duration::from_millis(250);
-    for (first, more) in asked.iter_mut().zip(ask_all(&proxies, 3, Duration::from_millis(800))) {
-        // Ids begin anew; the stand-ins' notes tell them apart by time, so they are checked apart as well.
-        first.extend(more.into_iter().map(|(id, write, status)| (format!("+{id}"), write, status)));
+    for (first_round, second_round) in
+        requests.iter_mut().zip(run_clients(&proxies, 3, Duration::from_millis(800)))
+    {
+        // The second round reuses the ids; the backends' records of the two rounds differ by their time. Its
+        // ids get a prefix here and below.
+        first_round
+            .extend(second_round.into_iter().map(|(id, write, status)| (format!("+{id}"), write, status)));
     }
 
     let mut runs = BTreeMap::<String, usize>::new();
-    for (place, backend) in backends.iter().enumerate() {
-        for (id, _, came) in backend.ran.lock().unwrap().iter() {
-            let second = *came > drained - Duration::from_millis(250);
-            *runs.entry(format!("{}{id}", if second { "+" } else { "" })).or_default() += 1;
-            assert!(place > 0 || *came < drained, "a draining backend got {id}");
+    for (index, backend) in backends.iter().enumerate() {
+        for (id, _, arrived) in backend.ran.lock().unwrap().iter() {
+            let second_round = *arrived > drained - Duration::from_millis(250);
+            *runs.entry(format!("{}{id}", if second_round { "+" } else { "" })).or_default() += 1;
+            assert!(index > 0 || *arrived < drained, "a draining backend got {id}");
         }
     }
-    for (id, write, status) in asked.iter().flatten() {
+    for (id, write, status) in requests.iter().flatten() {
         let ran = runs.get(id).copied().unwrap_or(0);
         assert!([200, 429, 502, 503, 504].contains(status), "{id}: {status}");
-        assert!(!write || ran <= 1, "{id} was to run once and ran {ran} times");
-        assert!(!write || ran == 0 || ![429, 503].contains(status), "{id} was turned back and ran");
-        assert!(*status != 200 || ran > 0, "{id} has an answer that nobody made");
+        assert!(!write || ran <= 1, "{id} is at most once and ran {ran} times");
+        assert!(!write || ran == 0 || ![429, 503].contains(status), "{id} was refused although it ran");
+        assert!(*status != 200 || ran > 0, "{id} has a response that no backend sent");
     }
     let rate = |proxies: &[Vec<(String, bool, u16)>]| {
-        let all = proxies.iter().flatten().count().max(1) as f64;
+        let total = proxies.iter().flatten().count().max(1) as f64;
         let served = proxies.iter().flatten().filter(|(_, _, status)| *status == 200).count() as f64;
-        (served / all, served / proxies.len() as f64)
+        (served / total, served / proxies.len() as f64)
     };
-    let ((old_part, old), (new_part, new)) = (rate(&asked[..2]), rate(&asked[2..]));
-    assert!(old_part > 0.8 && new_part > 0.8, "served {old_part:.2} of the old, {new_part:.2} of the new");
-    assert!(old > 0.4 * new && new > 0.4 * old, "a proxy of the old shape served {old}, of the new {new}");
+    let ((shared_ratio, shared), (sidecar_ratio, sidecar)) = (rate(&requests[..2]), rate(&requests[2..]));
+    assert!(
+        shared_ratio > 0.8 && sidecar_ratio > 0.8,
+        "served {shared_ratio:.2} of the shared, {sidecar_ratio:.2} of the sidecar proxies' requests"
+    );
+    assert!(
+        shared > 0.4 * sidecar && sidecar > 0.4 * shared,
+        "a shared proxy served {shared}, a sidecar {sidecar}"
+    );
 }
 
 #[test]
-fn proxies_of_the_new_shape_send_a_key_to_the_same_home_and_hear_each_other() {
-    let (backends, dials): (Vec<_>, Vec<_>) = (0..BACKENDS).map(|_| StandIn::start()).unzip();
-    let starting = STARTING.lock().unwrap_or_else(|held| held.into_inner());
-    let shapes = shapes(&addresses(3));
-    let start = |(tier, more): &(String, &str)| Proxy::start_native(&config(&dials, false, tier, more));
-    let proxies: Vec<_> = shapes[2..].iter().map(start).collect();
-    drop(starting);
-    ask_all(&proxies, 1, Duration::from_millis(1500));
-    let mut homes = BTreeMap::<String, BTreeMap<usize, usize>>::new();
-    for (place, backend) in backends.iter().enumerate() {
+fn sidecar_proxies_route_a_key_to_the_same_backends_and_receive_peer_messages() {
+    let (backends, backend_addresses): (Vec<_>, Vec<_>) =
+        (0..BACKEND_COUNT).map(|_| RecordingBackend::start()).unzip();
+    let address_lock = ADDRESS_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let topologies = topologies(&addresses(3));
+    let start =
+        |(tier, more): &(String, &str)| Proxy::start_native(&config(&backend_addresses, false, tier, more));
+    let proxies: Vec<_> = topologies[2..].iter().map(start).collect();
+    drop(address_lock);
+    run_clients(&proxies, 1, Duration::from_millis(1500));
+    let mut backends_by_key = BTreeMap::<String, BTreeMap<usize, usize>>::new();
+    for (index, backend) in backends.iter().enumerate() {
         for (_, key, _) in backend.ran.lock().unwrap().iter() {
-            *homes.entry(key.clone().unwrap()).or_default().entry(place).or_default() += 1;
+            *backends_by_key.entry(key.clone().unwrap()).or_default().entry(index).or_default() += 1;
         }
     }
-    // All keys are met alike and homes are lightly loaded: nearly all goes to one or two of the six.
-    let two = |homes: &BTreeMap<usize, usize>| {
-        let mut counts: Vec<_> = homes.values().copied().collect();
+    // All keys are equally frequent and the backends lightly loaded: nearly all requests for a key go to one
+    // or two of the six.
+    let top_two = |request_counts: &BTreeMap<usize, usize>| {
+        let mut counts: Vec<_> = request_counts.values().copied().collect();
         counts.sort_unstable_by(|a, b| b.cmp(a));
         (counts.iter().take(2).sum::<usize>(), counts.iter().sum::<usize>())
     };
-    let (at_home, all) = homes.values().map(two).fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
+    let (preferred, total) =
+        backends_by_key.values().map(top_two).fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
     assert!(
-        homes.len() == KEYS as usize && at_home as f64 > 0.8 * all as f64,
-        "{at_home} of {all}: {homes:?}"
+        backends_by_key.len() == KEY_COUNT as usize && preferred as f64 > 0.8 * total as f64,
+        "{preferred} of {total}: {backends_by_key:?}"
     );
-    let used: BTreeSet<_> = homes.values().flat_map(|homes| homes.keys()).collect();
+    let used: BTreeSet<_> =
+        backends_by_key.values().flat_map(|request_counts| request_counts.keys()).collect();
     assert!(used.len() > 3, "{used:?}");
-    // The count of messages heard stands in the last line of the log.
+    // The last log line has the count of messages received from peers.
     for proxy in proxies {
         proxy.signal("-TERM");
         let line = proxy.wait_for_log("heard=");
-        let heard = line.split("heard=").nth(1).and_then(|rest| rest.split(' ').next());
-        assert!(heard.and_then(|heard| heard.parse::<u32>().ok()) > Some(0), "{line}");
+        let received = line.split("heard=").nth(1).and_then(|rest| rest.split(' ').next());
+        assert!(received.and_then(|received| received.parse::<u32>().ok()) > Some(0), "{line}");
     }
 }
--- a/crates/proxy/tests/operations.rs
+++ b/crates/proxy/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operators do with a running proxy: calls, figures, bans by hand, upgrades.
+//! What operators do with a running proxy: admin requests, metrics, disabling of backends, upgrades.
 
 mod helper;
 
@@ -14,8 +14,8 @@
 use helper::{accept, backend, fetch, read_message, request, response, write, Proxy};
 use sparlug_proxy::control_messages::{take_message, HandoverMessage};
 
-/// A backend that answers all it is asked with its name, until the test ends.
-fn serving(name: &'static str) -> TcpListener {
+/// A backend that responds to every request with its name, until the test ends.
+fn named_backend(name: &'static str) -> TcpListener {
     let listener = backend();
     let accepting = listener.try_clone().unwrap();
     thread::spawn(move || {
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn operators_calls_get_their_answers() {
-    let proxy = Proxy::start_managed(&[&serving("a")], "127.0.0.1:0", &[]);
+fn admin_requests_get_their_responses() {
+    let proxy = Proxy::start_managed(&[&named_backend("a")], "127.0.0.1:0", &[]);
     assert_eq!(proxy.admin_request("GET", "/ready").0, 200);
     let cases = [
         ("GET /nowhere HTTP/1.1\r\n\r\n", "404"),
@@ -45,45 +45,45 @@
         ("DELETE /backends/disable/h0 HTTP/1.1\r\n\r\n", "405"),
         ("PUT /backends/disable/%ff HTTP/1.1\r\n\r\n", "400"),
         ("nonsense\r\n\r\n", "400"),
-        // An id is decoded once, and a body is read and passed over.
+        // An id is percent-decoded once; a body is read and ignored.
         ("PUT /backends/disable/%680 HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", "200"),
         ("PUT /backends/enable/%2568 HTTP/1.1\r\n\r\n", "404"),
         ("PUT /backends/enable/h0 HTTP/1.1\r\n\r\n", "200"),
     ];
-    for (call, status) in cases {
-        let seen = fetch(&proxy.management, call);
-        assert!(seen.starts_with(&format!("HTTP/1.1 {status} ")), "{call:?}: {seen:?}");
+    for (admin_request, status) in cases {
+        let received = fetch(&proxy.management, admin_request);
+        assert!(received.starts_with(&format!("HTTP/1.1 {status} ")), "{admin_request:?}: {received:?}");
     }
 }
 
 #[test]
-fn callers_that_say_nothing_keep_no_call_out() {
-    let proxy = Proxy::start_managed(&[&serving("a")], "127.0.0.1:0", &[]);
-    let half = |_| {
+fn silent_admin_connections_do_not_block_admin_requests() {
+    let proxy = Proxy::start_managed(&[&named_backend("a")], "127.0.0.1:0", &[]);
+    let send_partial_request = |_| {
         let mut stream = TcpStream::connect(&proxy.management).unwrap();
         stream.write_all(b"GET /ready HT").unwrap();
         stream
     };
-    let _silent: Vec<_> = (0..40).map(half).collect();
+    let _silent_clients: Vec<_> = (0..40).map(send_partial_request).collect();
     assert_eq!(proxy.admin_request("GET", "/ready").0, 200);
 }
 
 #[test]
-fn the_figures_tell_each_request_once() {
+fn metrics_count_each_request_once() {
     let slow = backend();
     let proxy = Proxy::start_managed(&[&slow], "127.0.0.1:0", &[]);
     let mut client = proxy.connect();
     client.write_all(request("GET", "/read", "5").as_bytes()).unwrap();
     let mut conn = accept(&slow);
     read_message(&mut conn);
-    let all = ["served", "refused", "failed"].map(|end| format!("svc.requests.read.{end}"));
-    let counts = || all.each_ref().map(|name| proxy.metric(name));
+    let metric_names = ["served", "refused", "failed"].map(|outcome| format!("svc.requests.read.{outcome}"));
+    let counts = || metric_names.each_ref().map(|name| proxy.metric(name));
     assert_eq!((counts(), proxy.metric("svc.in_flight")), ([Some(0); 3], Some(1)));
     conn.write_all(response("200 OK", "", "x").as_bytes()).unwrap();
     read_message(&mut client);
     assert_eq!((counts(), proxy.metric("svc.in_flight")), ([Some(1), Some(0), Some(0)], Some(0)));
     assert_eq!(proxy.metric("svc.attempts"), Some(1));
-    // A class that is asked for in the wrong way fails; a path that is no class is nobody's request.
+    // A request for a class with the wrong method fails; a path of no class is not counted.
     proxy.fetch(&request("POST", "/read", "5"));
     proxy.fetch(&request("GET", "/unknown", "5"));
     assert_eq!(counts(), [Some(1), Some(0), Some(1)]);
@@ -91,12 +91,14 @@
 }
 
 #[test]
-fn every_ending_moves_one_figure() {
+fn each_outcome_increments_one_metric() {
     let listener = backend();
     let proxy = Proxy::start_managed(&[&listener], "127.0.0.1:0", &[]);
-    let ends = ["served", "refused", "failed"];
-    let counts = |class: &str| ends.map(|end| proxy.metric(&format!("svc.requests.{class}.{end}")).unwrap());
-    // What the backend sends back, or nothing; and which figure that moves.
+    let outcomes = ["served", "refused", "failed"];
+    let counts = |class: &str| {
+        outcomes.map(|outcome| proxy.metric(&format!("svc.requests.{class}.{outcome}")).unwrap())
+    };
+    // What the backend sends, if anything, and the index of the metric that it increments.
     let cases = [
         ("POST", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 0),
         ("POST", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 2),
@@ -105,7 +107,7 @@
         ("POST", "", 2),
     ];
     let mut expected = [0; 3];
-    for (method, reply, figure) in cases {
+    for (method, reply, metric_index) in cases {
         let mut client = proxy.connect();
         write(&mut client, &request(method, "/write", "5"));
         let mut conn = accept(&listener);
@@ -114,10 +116,10 @@
         write(&mut conn, reply);
         conn.shutdown(Shutdown::Both).unwrap();
         assert!(read_message(&mut client).starts_with("HTTP/1.1 "), "{reply:?}");
-        expected[figure] += 1;
+        expected[metric_index] += 1;
         assert_eq!((counts("write"), proxy.metric("svc.in_flight")), (expected, Some(0)), "{reply:?}");
     }
-    // A client that leaves.
+    // A client that closes its connection.
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/write", "5"));
     let mut conn = accept(&listener);
@@ -126,7 +128,7 @@
     assert_eq!(read_message(&mut conn), "");
     expected[2] += 1;
     assert_eq!((counts("write"), proxy.metric("svc.in_flight")), (expected, Some(0)));
-    // Refused by the proxy, with nothing sent.
+    // A request that the proxy refuses without an attempt.
     assert_eq!(proxy.admin_request("PUT", "/backends/disable/h0").0, 200);
     assert!(proxy.fetch(&request("POST", "/write", "5")).starts_with("HTTP/1.1 503 "));
     expected[1] += 1;
@@ -135,62 +137,63 @@
 }
 
 #[test]
-fn a_ban_by_hand_holds_until_it_is_called_back() {
-    let proxy = Proxy::start_managed(&[&serving("a"), &serving("b")], "127.0.0.1:0", &[]);
+fn disabled_backend_gets_no_requests_until_it_is_enabled() {
+    let proxy = Proxy::start_managed(&[&named_backend("a"), &named_backend("b")], "127.0.0.1:0", &[]);
     assert_eq!(proxy.admin_request("PUT", "/backends/disable/h0").0, 200);
     assert_eq!(proxy.admin_request("PUT", "/backends/disable/h0").0, 200);
     assert_eq!(proxy.metric("svc.backends_excluded"), Some(1));
     for _ in 0..20 {
-        let seen = proxy.fetch(&request("GET", "/read", "5"));
-        assert!(seen.ends_with("\r\n\r\nb"), "{seen}");
+        let received = proxy.fetch(&request("GET", "/read", "5"));
+        assert!(received.ends_with("\r\n\r\nb"), "{received}");
     }
-    // With all of them out, there is an answer at once.
+    // With all backends disabled, the proxy responds at once.
     assert_eq!(proxy.admin_request("PUT", "/backends/disable/h1").0, 200);
     assert!(proxy.fetch(&request("GET", "/read", "5")).starts_with("HTTP/1.1 503 "));
     assert_eq!(proxy.metric("svc.requests.read.refused"), Some(1));
     assert_eq!(proxy.admin_request("PUT", "/backends/enable/h0").0, 200);
-    let seen = proxy.fetch(&request("GET", "/read", "5"));
-    assert!(seen.ends_with("\r\n\r\na"), "{seen}");
+    let received = proxy.fetch(&request("GET", "/read", "5"));
+    assert!(received.ends_with("\r\n\r\na"), "{received}");
     assert_eq!(proxy.metric("svc.backends_excluded"), Some(1));
 }
 
-/// A place for what processes of one proxy hand over, and an address that is free.
-fn place(name: &str) -> (PathBuf, String) {
+/// A folder for the handover socket of a proxy's processes, and a free address to listen on.
+fn handover_folder_and_address(name: &str) -> (PathBuf, String) {
     let folder = std::env::temp_dir().join(format!("sparlug-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    // Below those that the system hands out: guards against another test's connection getting it first.
-    static TAKEN: AtomicU16 = AtomicU16::new(0);
+    // Below the ephemeral ports: guards against a connection of another test that takes the port first.
+    static USED_PORTS: AtomicU16 = AtomicU16::new(0);
     let first = 20_000 + std::process::id() as u16 % 100 * 100;
-    let next = || first + TAKEN.fetch_add(1, Ordering::Relaxed);
+    let next = || first + USED_PORTS.fetch_add(1, Ordering::Relaxed);
     let free = |port: &u16| TcpListener::bind(("127.0.0.1", *port)).is_ok();
     (folder, format!("127.0.0.1:{}", std::iter::repeat_with(next).find(free).unwrap()))
 }
 
 #[test]
-fn an_upgrade_loses_no_request_and_no_ban() {
-    let ((folder, listen), backends) = (place("upgrade"), [serving("a"), serving("b")]);
+fn upgrade_loses_no_request_and_keeps_disabled_backends() {
+    let ((folder, listen), backends) =
+        (handover_folder_and_address("upgrade"), [named_backend("a"), named_backend("b")]);
     let backends = backends.each_ref();
     let environment = [("TMPDIR", folder.to_str().unwrap())];
     let old = Proxy::start_managed(&backends, &listen, &environment);
     assert_eq!(old.admin_request("PUT", "/backends/disable/h0").0, 200);
     let (done, address) = (Arc::new(AtomicBool::new(false)), listen.clone());
     let stop = done.clone();
-    // New connections, and one that is kept until its answer says that it ends.
-    let asking = thread::spawn(move || {
-        let mut answers = Vec::new();
+    // Requests on new connections, and a connection that is kept until a response closes it.
+    let requesting = thread::spawn(move || {
+        let mut responses = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            answers.push(fetch(&address, &request("GET", "/read", "5")));
+            responses.push(fetch(&address, &request("GET", "/read", "5")));
         }
-        answers
+        responses
     });
-    let mut kept = old.connect();
-    let open = request("GET", "/read", "5").replace("Connection: close\r\n", "");
-    write(&mut kept, &open);
-    assert!(read_message(&mut kept).ends_with("\r\n\r\nb"));
+    let mut kept_open = old.connect();
+    let keep_alive = request("GET", "/read", "5").replace("Connection: close\r\n", "");
+    write(&mut kept_open, &keep_alive);
+    assert!(read_message(&mut kept_open).ends_with("\r\n\r\nb"));
 
     let new = Proxy::start_managed(&backends, &listen, &environment);
     assert_eq!(new.admin_request("GET", "/ready").0, 200);
-    // What was barred before stays so, and what one of the two is told binds the other.
+    // Disabled backends stay disabled, and a change at either process takes effect at the other.
     assert_eq!(new.metric("svc.backends_excluded"), Some(1));
     assert_eq!(new.admin_request("PUT", "/backends/enable/h0").0, 200);
     assert_eq!(new.admin_request("PUT", "/backends/disable/h1").0, 200);
@@ -200,85 +203,87 @@
     assert_eq!(old.metric("svc.backends_excluded"), Some(1));
     old.signal("-TERM");
     old.wait_for_log("signal");
-    write(&mut kept, &open.replace("9b1f", "77"));
-    let last = read_message(&mut kept);
+    write(&mut kept_open, &keep_alive.replace("9b1f", "77"));
+    let last = read_message(&mut kept_open);
     assert!(last.starts_with("HTTP/1.1 200 ") && last.ends_with("\r\n\r\na"), "{last}");
     assert_eq!(old.wait_for_exit(), Some(0));
     assert!(new.fetch(&request("GET", "/read", "5")).ends_with("\r\n\r\na"));
     done.store(true, Ordering::Relaxed);
-    for answer in asking.join().unwrap() {
-        assert!(answer.starts_with("HTTP/1.1 200 "), "{answer:?}");
+    for response_text in requesting.join().unwrap() {
+        assert!(response_text.starts_with("HTTP/1.1 200 "), "{response_text:?}");
     }
-    // The third finds the second.
+    // The third process gets the state of the second.
     let third = Proxy::start_managed(&backends, &listen, &environment);
     assert_eq!(third.metric("svc.backends_excluded"), Some(1));
 }
 
-/// Guards against bans that are lost with one call that failed as one process handed over to the next.
+/// Guards against disabled backends that are enabled again because one system call of the handover failed.
 #[test]
-fn an_upgrade_keeps_its_bans_though_calls_of_the_handover_fail() {
+fn upgrade_keeps_disabled_backends_when_system_calls_of_the_handover_fail() {
     let failures = [
         (SystemCall::MessageWrite, errno::EINTR),
         (SystemCall::MessageWrite, errno::ENOBUFS),
         (SystemCall::MessageRead, errno::EINTR),
         (SystemCall::MessageRead, errno::ENOMEM),
     ];
-    for (call, error) in failures {
-        let ((folder, listen), backends) = (place("faulty-upgrade"), [serving("a"), serving("b")]);
+    for (system_call, error) in failures {
+        let ((folder, listen), backends) =
+            (handover_folder_and_address("faulty-upgrade"), [named_backend("a"), named_backend("b")]);
         let backends = backends.each_ref();
         let environment = [("TMPDIR", folder.to_str().unwrap())];
         let (old, sending) = Shim::start_managed(&backends, &listen, &environment);
         assert_eq!(old.admin_request("PUT", "/backends/disable/h0").0, 200);
-        let fault = Fault::with_error(call, error, 3);
+        let fault = Fault::with_error(system_call, error, 3);
         sending.inject(fault);
         let (new, receiving) = Shim::start_managed_failing(&backends, &listen, &environment, &[fault]);
-        assert_eq!(new.metric("svc.backends_excluded"), Some(1), "{call:?} error {error}");
-        assert!(sending.hits(call) + receiving.hits(call) > 0, "{call:?} error {error}");
+        assert_eq!(new.metric("svc.backends_excluded"), Some(1), "{system_call:?} error {error}");
+        assert!(sending.hits(system_call) + receiving.hits(system_call) > 0, "{system_call:?} error {error}");
     }
 }
 
 #[test]
-fn whatever_waits_in_the_old_ones_place_costs_the_start_nothing() {
-    let backends = [serving("a")];
+fn proxy_starts_whatever_is_at_the_path_of_the_handover_socket() {
+    let backends = [named_backend("a")];
     let backends = backends.each_ref();
-    let serves = |what: &dyn Fn(&Path) -> Option<UnixListener>| {
-        let (folder, listen) = place("fallback");
+    let check_start = |occupy: &dyn Fn(&Path) -> Option<UnixListener>| {
+        let (folder, listen) = handover_folder_and_address("fallback");
         let path = folder.join(format!("sparlug-{listen}.sock"));
         let _ = std::fs::remove_file(&path);
-        let _kept = what(&path);
+        let _listener = occupy(&path);
         let proxy = Proxy::start_managed(&backends, &listen, &[("TMPDIR", folder.to_str().unwrap())]);
         assert!(proxy.fetch(&request("GET", "/read", "5")).starts_with("HTTP/1.1 200 "));
     };
-    let says = |path: &Path, text: &'static [u8]| {
+    let send_bytes = |path: &Path, bytes: &'static [u8]| {
         let listener = UnixListener::bind(path).unwrap();
         let waiting = listener.try_clone().unwrap();
-        thread::spawn(move || waiting.accept().unwrap().0.write_all(text).unwrap());
+        thread::spawn(move || waiting.accept().unwrap().0.write_all(bytes).unwrap());
         Some(listener)
     };
-    // A stale socket, a file, one that never answers, one that ends, nonsense, and another version.
-    serves(&|path| UnixListener::bind(path).map(drop).map(|()| None).unwrap());
-    serves(&|path| std::fs::write(path, "no socket").map(|()| None).unwrap());
-    serves(&|path| Some(UnixListener::bind(path).unwrap()));
-    serves(&|path| says(path, b""));
-    serves(&|path| says(path, &[0x7f; 4000]));
-    serves(&|path| says(path, b"sparlug-handover 1\n{\"State\":{\"agent\":7}}\n"));
-    serves(&|path| {
-        says(path, b"sparlug-handover 2\n{\"State\":{\"agent\":null,\"barred\":[],\"list\":null}}\n")
+    // A stale socket, a file, a peer that never answers, one that closes, invalid bytes, an invalid
+    // message, and another version.
+    check_start(&|path| UnixListener::bind(path).map(drop).map(|()| None).unwrap());
+    check_start(&|path| std::fs::write(path, "no socket").map(|()| None).unwrap());
+    check_start(&|path| Some(UnixListener::bind(path).unwrap()));
+    check_start(&|path| send_bytes(path, b""));
+    check_start(&|path| send_bytes(path, &[0x7f; 4000]));
+    check_start(&|path| send_bytes(path, b"sparlug-handover 1\n{\"State\":{\"agent\":7}}\n"));
+    check_start(&|path| {
+        send_bytes(path, b"sparlug-handover 2\n{\"State\":{\"agent\":null,\"barred\":[],\"list\":null}}\n")
     });
 }
 
 #[test]
-fn what_processes_say_is_read_line_by_line_or_not_at_all() {
-    let word = HandoverMessage::SetDisabled { backend: ([10, 0, 0, 1], 80), disabled: true };
-    let text = [serde_json::to_string(&word).unwrap(), "\n".to_string()].concat();
+fn handover_messages_are_read_by_complete_lines_or_rejected() {
+    let message = HandoverMessage::SetDisabled { backend: ([10, 0, 0, 1], 80), disabled: true };
+    let bytes = [serde_json::to_string(&message).unwrap(), "\n".to_string()].concat();
     let mut input = Vec::new();
-    for byte in text.bytes() {
+    for byte in bytes.bytes() {
         assert_eq!(take_message(&mut input), Ok(None));
         input.push(byte);
     }
-    assert_eq!((take_message(&mut input), input.len()), (Ok(Some(word)), 0));
-    for bad in ["{}\n", "nonsense\n", "\n", "{\"Bar\":{\"backend\":[[1,2,3],4],\"barred\":true}}\n"] {
-        assert!(take_message(&mut bad.as_bytes().to_vec()).is_err(), "{bad}");
+    assert_eq!((take_message(&mut input), input.len()), (Ok(Some(message)), 0));
+    for invalid in ["{}\n", "nonsense\n", "\n", "{\"Bar\":{\"backend\":[[1,2,3],4],\"barred\":true}}\n"] {
+        assert!(take_message(&mut invalid.as_bytes().to_vec()).is_err(), "{invalid}");
     }
     assert!(take_message(&mut vec![b' '; 5 << 20]).is_err());
 }
