--- a/crates/proxy/tests/unit.rs
+++ b/crates/proxy/tests/unit.rs
@@ -1,4 +1,5 @@
-//! The parts that need no process: slots, deadlines, endings, lists, links and configurations.
+//! Unit tests that need no proxy process: slots, deadlines, connect time-outs, attempt results, backend
+//! lists, buffered streams and configurations.
 
 mod helper;
 
@@ -18,7 +19,7 @@
 use sparlug_proxy::slots::Slots;
 
 #[test]
-fn a_stale_event_finds_nothing_in_a_slot_that_is_used_again() {
+fn stale_event_finds_nothing_in_a_reused_slot() {
     let mut slots: Slots<ClientTag, &str> = Slots::default();
     let first = slots.insert_with(|_| Some("first")).unwrap();
     let token = Owner::Client(first).token();
@@ -27,40 +28,39 @@
     let Owner::Client(stale) = Owner::from_token(token) else { panic!("another owner") };
     assert!(slots.get(stale).is_none() && slots.remove(stale).is_none());
     assert_eq!(slots.get(second), Some(&"second"));
-    // Guards against the wall that there was at 4,096 records.
+    // Guards against a limit of 4,096 slots, which an earlier version had.
     let many: Vec<_> = (0..20_000).map(|_| slots.insert_with(|_| Some("more")).unwrap()).collect();
     assert!(many.iter().all(|slot| Owner::from_token(Owner::Client(*slot).token()) == Owner::Client(*slot)));
     assert_eq!((slots.count(), slots.get(second)), (20_001, Some(&"second")));
 }
 
 #[test]
-fn deadlines_come_in_order_and_those_set_meanwhile_wait_a_round() {
+fn deadlines_expire_in_order_and_new_ones_wait_for_the_next_iteration() {
     let mut deadlines = Deadlines::default();
     let at = |ms| Time::ORIGIN + Span::from_millis(ms);
     deadlines.set(at(2), "late");
-    let off = deadlines.set(at(1), "called off");
+    let cancelled = deadlines.set(at(1), "cancelled");
     deadlines.set(at(1), "early");
-    deadlines.cancel(Some(off));
+    deadlines.cancel(Some(cancelled));
     assert_eq!(deadlines.time_to_next(Time::ORIGIN).unwrap().as_millis(), 1);
-    let set = deadlines.last_sequence();
-    assert_eq!(deadlines.pop_due(at(2), set), Some("early"));
-    // Guards against a deadline that sets itself again at once and never lets the sockets have their turn.
+    let last_sequence = deadlines.last_sequence();
+    assert_eq!(deadlines.pop_due(at(2), last_sequence), Some("early"));
+    // Guards against a deadline that is set again at once each time, so that the sockets are never polled.
     deadlines.set(at(0), "again");
-    assert_eq!(deadlines.pop_due(at(2), set), None);
-    assert_eq!(deadlines.pop_due(at(2), set + 1), Some("again"));
-    assert_eq!(deadlines.pop_due(at(1), set + 1), None);
+    assert_eq!(deadlines.pop_due(at(2), last_sequence), None);
+    assert_eq!(deadlines.pop_due(at(2), last_sequence + 1), Some("again"));
+    assert_eq!(deadlines.pop_due(at(1), last_sequence + 1), None);
 }
 
-/// Guards against the whole time for a connection being spent at each of many backends that are lost
-/// together.
+/// Guards against waiting the full connect time-out at each of many backends that fail together.
 #[test]
-fn a_connection_is_waited_for_as_long_as_others_took_to_come_up() {
+fn connect_timeout_follows_observed_connect_times() {
     let (ms, mut connect_timeout) = (|ms| Span::from_millis(ms), ConnectTimeout::new(Span::from_millis(100)));
     let (mut near, mut far) = (ConnectHistory::default(), ConnectHistory::default());
-    assert_eq!(connect_timeout.timeout_for(&near), ms(100), "nothing is known yet");
+    assert_eq!(connect_timeout.timeout_for(&near), ms(100), "no connect time is known yet");
     (0..50).for_each(|_| connect_timeout.record_success(&mut near, ms(1)));
-    assert_eq!(connect_timeout.timeout_for(&far), ms(10), "a tenth at the least");
-    // One that is forty times as far is reached all the same, and then has the time that it needs.
+    assert_eq!(connect_timeout.timeout_for(&far), ms(10), "at least a tenth");
+    // A backend that takes forty times as long is reached all the same, and then gets the time that it needs.
     while connect_timeout.timeout_for(&far) < ms(40) {
         connect_timeout.record_timeout(&mut far);
     }
@@ -68,13 +68,13 @@
     (0..50).for_each(|_| connect_timeout.record_success(&mut near, ms(1)));
     assert!(connect_timeout.timeout_for(&far) > ms(80) && connect_timeout.timeout_for(&near) < ms(20));
     (0..99).for_each(|_| connect_timeout.record_timeout(&mut far));
-    assert_eq!(connect_timeout.timeout_for(&far), ms(100), "never longer than the settings say");
+    assert_eq!(connect_timeout.timeout_for(&far), ms(100), "never longer than the configured time-out");
 }
 
 #[test]
-fn only_endings_that_prove_it_say_that_a_attempt_never_ran() {
+fn only_conclusive_results_say_that_an_attempt_has_not_run() {
     let answered = |status, not_started| AttemptResult::Answered { status, not_started };
-    let never = [
+    let not_run = [
         AttemptResult::Refused,
         AttemptResult::NeverUp,
         AttemptResult::BrokeBefore,
@@ -87,7 +87,7 @@
         answered(503, true),
         answered(504, true),
     ];
-    let perhaps = [
+    let may_have_run = [
         AttemptResult::BrokeAfter,
         AttemptResult::CutShort,
         AttemptResult::KeptBroke { written: true },
@@ -99,31 +99,32 @@
         answered(500, true),
         answered(404, false),
     ];
-    let usual = Settings::for_classes(Vec::new());
-    let ran = |ending: &AttemptResult| ending.outcome().may_have_run(&usual);
-    assert!(!never.iter().any(ran));
-    assert!(perhaps.iter().all(ran));
+    let default_settings = Settings::for_classes(Vec::new());
+    let ran = |result: &AttemptResult| result.outcome().may_have_run(&default_settings);
+    assert!(!not_run.iter().any(ran));
+    assert!(may_have_run.iter().all(ran));
     assert_eq!(answered(200, false).outcome(), Outcome::Served);
-    // Guards against backends left out for what a client, the list or the proxy itself is the cause of.
+    // Guards against ejecting backends for failures caused by a client, the list or the proxy itself.
     let called_off = [true, false].map(|written| AttemptResult::CalledOff { written });
-    let ours = [AttemptResult::Withdrawn, AttemptResult::NoRoom, AttemptResult::OutOfTime { written: false }];
-    assert!(ours
+    let neutral =
+        [AttemptResult::Withdrawn, AttemptResult::NoRoom, AttemptResult::OutOfTime { written: false }];
+    assert!(neutral
         .iter()
         .chain(&called_off)
         .chain(&[answered(400, false)])
-        .all(|ending| ending.outcome().is_neutral()));
-    let theirs = [
+        .all(|result| result.outcome().is_neutral()));
+    let backend_failures = [
         AttemptResult::Refused,
         AttemptResult::NeverUp,
         AttemptResult::Garbled,
         answered(500, false),
         answered(429, false),
     ];
-    assert!(!theirs.iter().any(|ending| ending.outcome().is_neutral()));
+    assert!(!backend_failures.iter().any(|result| result.outcome().is_neutral()));
 }
 
 #[test]
-fn a_host_is_the_same_backend_at_whatever_address_it_is_dialled() {
+fn backend_id_depends_on_the_host_and_not_on_its_address() {
     let list = |dial: &str, health: &str| {
         let host = format!(
             r#"{{"host":"s-1","dial":"{dial}","site":"b","block":3,"health":"{health}","born_ms":5}}"#
@@ -141,27 +142,27 @@
 }
 
 #[test]
-fn what_can_not_be_written_at_once_is_kept_and_goes_on_later() {
+fn unwritten_bytes_are_buffered_and_written_later() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let poll = mio::Poll::new().unwrap();
-    let mut link =
+    let mut stream =
         BufferedStream::dial(listener.local_addr().unwrap(), poll.registry(), mio::Token(0)).unwrap();
     let (mut peer, _) = listener.accept().unwrap();
-    while !link.is_established().unwrap() {}
-    let sent: Vec<u8> = (0..32_000_000_u32).map(|place| (place % 251) as u8).collect();
-    link.queue(&sent);
-    assert!(!link.flush().unwrap(), "more than the kernel takes");
+    while !stream.is_established().unwrap() {}
+    let sent: Vec<u8> = (0..32_000_000_u32).map(|index| (index % 251) as u8).collect();
+    stream.queue(&sent);
+    assert!(!stream.flush().unwrap(), "more than the kernel's buffers take");
     let reader = std::thread::spawn(move || {
         let mut read = Vec::new();
         peer.read_to_end(&mut read).map(|_| read)
     });
-    while !link.flush().unwrap() {}
-    link.shutdown_write();
+    while !stream.flush().unwrap() {}
+    stream.shutdown_write();
     assert!(reader.join().unwrap().unwrap() == sent);
 }
 
 #[test]
-fn a_configuration_that_is_no_use_says_why() {
+fn invalid_configuration_gives_a_reason() {
     let config = |listen: &str, seed: &str, sockets: u32, settings: &str| {
         let text = format!(
             r#"{{"name":"n","listen":"{listen}","discovery":"10.0.0.1:1","seed":"{seed}",
@@ -182,11 +183,12 @@
         Config::decode(text.as_bytes()).map(|config| config.budgets)
     };
     assert!(limits(30, 192).is_err() && limits(1024, 7).is_err());
-    let wide = limits(1024, 192).unwrap();
-    assert!(wide.clients + wide.clients / 8 + wide.backends <= 1024 - 16 && wide.idle < wide.backends);
-    // Guards against too few places for callers: half as many as descriptors may say nothing for a while.
-    assert!(wide.clients > 512 + 1024 / 4);
+    let large = limits(1024, 192).unwrap();
+    assert!(large.clients + large.clients / 8 + large.backends <= 1024 - 16 && large.idle < large.backends);
+    // Guards against too little capacity for clients: as many as half of the descriptors may be silent for a
+    // while.
+    assert!(large.clients > 512 + 1024 / 4);
     let small = limits(256, 32).unwrap();
-    // Guards against a small memory that leaves fewer connections than there are callers.
-    assert!(small.clients > 128 + 256 / 5 && small.buffer_bytes < wide.buffer_bytes, "{small:?}");
+    // Guards against a memory limit so small that there are fewer connections than clients.
+    assert!(small.clients > 128 + 256 / 5 && small.buffer_bytes < large.buffer_bytes, "{small:?}");
 }
