--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -13,9 +13,9 @@
 use sparlug_lab::clock::{At, Micros};
 use sparlug_lab::outcome;
 use sparlug_lab::record::{Record, What};
+use sparlug_lab::run::{self, Options};
 use sparlug_lab::scenario::Fault;
-use sparlug_lab::source::Source;
-use sparlug_lab::world::{self, Options};
+use sparlug_lab::scenario_file::ScenarioFile;
 
 use crate::lab::{command_error, current_program, install_stop_flag};
 use crate::CommandError;
@@ -202,7 +202,7 @@
 impl Demo {
     pub fn run(self) -> Result<(), CommandError> {
         let mut source =
-            Source::of(Path::new("demo.toml"), SCENARIO.to_string()).map_err(CommandError::failure)?;
+            ScenarioFile::of(Path::new("demo.toml"), SCENARIO.to_string()).map_err(CommandError::failure)?;
         let duration = self.duration.unwrap_or(Micros::from_millis(3_600_000));
         if duration < Micros::from_millis(1000) || !(0.1..=5000.0).contains(&self.rate) {
             return Err(CommandError::usage("--for must be at least 1s and --rate between 0.1 and 5000"));
@@ -242,7 +242,7 @@
         }
         let (mut stats, mut tail) =
             (LiveStats::default(), RecordTail { reader: None, partial_line: String::new() });
-        let records_path = world::records_of(&dir);
+        let records_path = run::records_path(&dir);
         let (mut last_shown, mut table_lines, mut started_at) = (Instant::now(), 0, None);
         let mut progress = |_: f64| {
             tail.read(&records_path, &mut stats);
@@ -276,13 +276,12 @@
                 let _ = std::io::stdout().flush();
             }
         };
-        let result =
-            world::run_with(&scenario, scenario.seed, &options, Some(&fault_receiver), &mut progress);
+        let result = run::run_with(&scenario, scenario.seed, &options, Some(&fault_receiver), &mut progress);
         tail.read(&records_path, &mut stats);
         let _ = std::fs::remove_dir_all(&dir);
         match result {
             Ok(_) => {}
-            Err(world::Failure::Interrupted) if stats.total_served > 0 => {}
+            Err(run::Failure::Interrupted) if stats.total_served > 0 => {}
             Err(failure) => return Err(command_error(failure)),
         }
         println!("served {} requests", stats.total_served);
--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `sparlug fleet`: reads the fleet status of several proxies over their management addresses and compares
+//! `sparlug fleet`: reads the fleet status of several proxies over their management addresses and comparisons
 //! their views of members and duties; pauses and resumes duties on one proxy.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -1,5 +1,5 @@
 //! `sparlug lab`: lists and runs scenarios, searches for schedules of faults that break a rule or a bound,
-//! and reports and compares results.
+//! and reports and comparisons results.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -12,8 +12,8 @@
 use sparlug_lab::experiment::{self, Plan, Results};
 use sparlug_lab::hunt::{self, Found, Search};
 use sparlug_lab::ledger::Rule;
-use sparlug_lab::source::Source;
-use sparlug_lab::world::Failure;
+use sparlug_lab::run::Failure;
+use sparlug_lab::scenario_file::ScenarioFile;
 use sparlug_lab::{component, report};
 
 use crate::{hold, CommandError};
@@ -77,7 +77,7 @@
 
 impl SearchArguments {
     fn run(self) -> Result<(), CommandError> {
-        let mut source = Source::read(&self.file).map_err(CommandError::usage)?;
+        let mut source = ScenarioFile::read(&self.file).map_err(CommandError::usage)?;
         self.settings.iter().try_for_each(|setting| source.set(setting)).map_err(CommandError::usage)?;
         if self.duration.is_some_and(|duration| duration < Micros::from_millis(500)) {
             return Err(CommandError::usage("--for must be at least 500ms"));
@@ -192,8 +192,8 @@
 /// Maps a failed run of the lab to an error of the command line.
 pub fn command_error(failure: Failure) -> CommandError {
     match failure {
-        Failure::CouldNot(message) => CommandError::failure(message),
-        Failure::Unusable(message) => CommandError::usage(message),
+        Failure::Environment(message) => CommandError::failure(message),
+        Failure::InvalidInput(message) => CommandError::usage(message),
         Failure::Interrupted => {
             CommandError::failure("interrupted; all processes of the run have been stopped")
         }
@@ -278,7 +278,7 @@
         json: Option<&Path>,
         stop: Arc<AtomicBool>,
     ) -> Result<(), CommandError> {
-        let mut source = Source::read(file).map_err(CommandError::usage)?;
+        let mut source = ScenarioFile::read(file).map_err(CommandError::usage)?;
         self.settings.iter().try_for_each(|setting| source.set(setting)).map_err(CommandError::usage)?;
         let program = current_program()?;
         let (seed, seeds, short, kept_records) =
@@ -339,7 +339,7 @@
             Lab::List { folder } => list(&folder),
             Lab::Report { out } => {
                 let results = read_results(&out.join("results.json"))?;
-                let source = Source::read(&out.join("scenario.toml")).map_err(CommandError::usage)?;
+                let source = ScenarioFile::read(&out.join("scenario.toml")).map_err(CommandError::usage)?;
                 let pictures = report::pictures_of(&results, &source, &out).map_err(CommandError::usage)?;
                 let path = out.join("report.html");
                 write(&path, report::page(&results, &pictures).as_bytes())?;
@@ -364,10 +364,10 @@
     files.retain(|path| path.extension().is_some_and(|extension| extension == "toml"));
     files.sort();
     for path in files {
-        let source = Source::read(&path).map_err(CommandError::usage)?;
+        let source = ScenarioFile::read(&path).map_err(CommandError::usage)?;
         let scenario = source.scenario(None, false).map_err(CommandError::usage)?;
         let runs = scenario.variants.len().max(1);
-        println!("{:<28} {:>4.0} s x {runs}  {}", path.display(), scenario.lasts.secs(), scenario.about);
+        println!("{:<28} {:>4.0} s x {runs}  {}", path.display(), scenario.duration.secs(), scenario.about);
     }
     Ok(())
 }
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -8,9 +8,9 @@
 use sparlug_lab::clock::{At, Micros};
 use sparlug_lab::ledger::{judge, Rule};
 use sparlug_lab::record::{self, Record, What};
+use sparlug_lab::run::{self, Options};
 use sparlug_lab::scenario::Scenario;
-use sparlug_lab::source::Source;
-use sparlug_lab::world::{self, Options};
+use sparlug_lab::scenario_file::ScenarioFile;
 
 const SPARLUG: &str = env!("CARGO_BIN_EXE_sparlug");
 
@@ -45,13 +45,13 @@
 /// Runs the scenario with these faults, checks that no rule is broken, and returns the records and the time
 /// of the start.
 fn run_scenario(name: &str, faults: &str) -> (Vec<Record>, At) {
-    let source = Source::of(Path::new("few.toml"), SCENARIO.to_string() + faults).unwrap();
+    let source = ScenarioFile::of(Path::new("few.toml"), SCENARIO.to_string() + faults).unwrap();
     let scenario: Scenario = source.scenario(None, false).unwrap();
     let dir = scratch_dir(name);
     let options =
         Options { program: SPARLUG.into(), dir: dir.clone(), stop: Default::default(), front: None };
-    let outcome = world::run(&scenario, 1, &options, &mut |_| {}).unwrap();
-    let records = record::read(&world::records_of(&dir)).unwrap();
+    let outcome = run::run(&scenario, 1, &options, &mut |_| {}).unwrap();
+    let records = record::read(&run::records_path(&dir)).unwrap();
     std::fs::remove_dir_all(&dir).unwrap();
     let breaches = judge(&records, &scenario).breaches;
     let breaches: Vec<String> = breaches.iter().map(|breach| breach.text.clone()).collect();
@@ -207,11 +207,11 @@
     for round in 0..2 {
         let scenario_text = SCENARIO.replace("\"5s\"", "\"1s\"");
         let scenario =
-            Source::of(Path::new("few.toml"), scenario_text).unwrap().scenario(None, false).unwrap();
+            ScenarioFile::of(Path::new("few.toml"), scenario_text).unwrap().scenario(None, false).unwrap();
         let dir = scratch_dir(&format!("taken-{round}"));
         let options =
             Options { program: SPARLUG.into(), dir: dir.clone(), stop: Default::default(), front: None };
-        world::run(&scenario, 1, &options, &mut |_| {}).unwrap();
+        run::run(&scenario, 1, &options, &mut |_| {}).unwrap();
         std::fs::remove_dir_all(&dir).unwrap();
     }
 }
@@ -232,7 +232,7 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let records_path = world::records_of(&world::dir_of(&dir, "sparlug", 1));
+        let records_path = run::records_path(&run::run_dir(&dir, "sparlug", 1));
         let deadline = Instant::now() + Duration::from_secs(30);
         let all_frozen = || {
             let records = record::read(&records_path).unwrap_or_default();
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/arrivals.rs
@@ -18,7 +18,8 @@
     /// From the start of the load.
     pub at: Micros,
     pub class: usize,
-    pub caller: usize,
+    #[serde(rename = "caller")]
+    pub client: usize,
     /// It leaves before its time.
     pub impatient: bool,
     pub slow_read: bool,
@@ -47,7 +48,7 @@
     let load = &scenario.load;
     let mut times = Vec::new();
     if load.closed > 0 {
-        let most = scenario.lasts.secs().ceil() as usize * CLOSED_MOST;
+        let most = scenario.duration.secs().ceil() as usize * CLOSED_MOST;
         times.resize(most, Micros::ZERO);
     } else {
         let most = load.steps.iter().map(|step| step.rate).fold(load.rate, f64::max);
@@ -57,7 +58,7 @@
             // Thinned from the highest rate: a Poisson process whose rate changes.
             at += gaps.sample(&mut rng);
             let now = Micros::from_ms(at * 1000.0);
-            if now >= scenario.lasts {
+            if now >= scenario.duration {
                 break;
             }
             if rng.random::<f64>() * most < rate_at(load, now) {
@@ -66,7 +67,7 @@
         }
         if let Some(burst) = load.burst.filter(|burst| burst.every > Micros::ZERO) {
             let mut at = burst.every;
-            while at < scenario.lasts {
+            while at < scenario.duration {
                 times.extend(std::iter::repeat_n(at, burst.size));
                 at = at + burst.every;
             }
@@ -74,35 +75,35 @@
         }
     }
     let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
-    let callers = &scenario.callers;
+    let callers = &scenario.client_behavior;
     let intent = |at| {
         let mut left = rng.random::<f64>() * shares;
         let class = scenario.classes.iter().position(|class| {
             left -= class.share;
             left < 0.0
         });
-        let caller = if rng.random::<f64>() < load.hot { 0 } else { rng.random_range(0..load.callers) };
+        let client = if rng.random::<f64>() < load.hot { 0 } else { rng.random_range(0..load.clients) };
         let mut draw = |share: f64| rng.random::<f64>() < share;
         let (impatient, slow_read) = (draw(callers.impatient), draw(callers.slow_read));
         let (slow_send, bad) = (draw(callers.slow_send), draw(callers.bad));
-        Intent { at, class: class.unwrap_or(0), caller, impatient, slow_read, slow_send, bad }
+        Intent { at, class: class.unwrap_or(0), client, impatient, slow_read, slow_send, bad }
     };
     times.into_iter().map(intent).collect()
 }
 
 /// A generator of its own for one request at one backend, the same in every run.
-pub fn rng_of(seed: u64, id: &str, salt: u64) -> ChaCha8Rng {
-    ChaCha8Rng::seed_from_u64(mix(seed ^ salt, id))
+pub fn request_rng(seed: u64, id: &str, salt: u64) -> ChaCha8Rng {
+    ChaCha8Rng::seed_from_u64(hash_with_seed(seed ^ salt, id))
 }
 
 /// A number out of a seed and a text. (FNV-1a, 64 bits.)
-pub fn mix(seed: u64, text: &str) -> u64 {
+pub fn hash_with_seed(seed: u64, text: &str) -> u64 {
     let step = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     text.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, step)
 }
 
 /// How long a request of work 1 takes on an unhurried core.
-pub fn service(tier: &Tier, rng: &mut ChaCha8Rng) -> Micros {
+pub fn service_time(tier: &Tier, rng: &mut ChaCha8Rng) -> Micros {
     let mean = tier.service.0 as f64;
     let drawn = match tier.distribution {
         Distribution::Fixed => mean,
@@ -122,6 +123,6 @@
     intents.iter().fold(0xcbf2_9ce4_8422_2325, |sum, i| {
         let flags =
             [i.impatient, i.slow_read, i.slow_send, i.bad].iter().fold(0, |sum, f| sum * 2 + u64::from(*f));
-        [i.at.0 as u64, i.class as u64, i.caller as u64, flags].into_iter().fold(sum, step)
+        [i.at.0 as u64, i.class as u64, i.client as u64, flags].into_iter().fold(sum, step)
     })
 }
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -8,10 +8,10 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
+use crate::arrivals;
 use crate::clock::{At, Micros};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message::{self, Message};
-use crate::plan;
 use crate::record::What;
 use crate::scenario::{Class, Effect, FaultKind, Tier};
 
@@ -189,7 +189,7 @@
             return None;
         }
         let chance = trouble.chance.unwrap_or(1.0);
-        let drawn: f64 = plan::rng_of(self.spec.seed, id, 0xfa17 + kind as u64).random();
+        let drawn: f64 = arrivals::request_rng(self.spec.seed, id, 0xfa17 + kind as u64).random();
         (drawn < chance).then(|| trouble.amount.unwrap_or(1.0))
     }
 
@@ -266,7 +266,7 @@
             return;
         }
         let time_left =
-            request.number("Request-Timeout").map_or(class.cut_off, |s| Micros::from_ms(s * 1000.0));
+            request.number("Request-Timeout").map_or(class.deadline, |s| Micros::from_ms(s * 1000.0));
         let refused = if self.hit(FaultKind::Refuse, &id).is_some() {
             Some("told to refuse")
         } else if self.draining {
@@ -284,7 +284,7 @@
         let number = self.count;
         let calls = match self.spec.tier.calls {
             [_, 0] => 0,
-            [least, most] => plan::rng_of(self.spec.seed, &id, 0xca11).random_range(least..=most),
+            [least, most] => arrivals::request_rng(self.spec.seed, &id, 0xca11).random_range(least..=most),
         };
         let until = event_loop.now + time_left;
         let (class, size) = (class.name, request.body.len());
@@ -331,7 +331,8 @@
                 .iter()
                 .find(|class| class.name == job.class)
                 .map_or(1.0, |class| class.work);
-            let drawn = plan::service(tier, &mut plan::rng_of(self.spec.seed, &job.id, 0x5e));
+            let drawn =
+                arrivals::service_time(tier, &mut arrivals::request_rng(self.spec.seed, &job.id, 0x5e));
             job.began = true;
             let id = job.id.clone();
             let slow = self.hit(FaultKind::Slow, &id).unwrap_or(1.0);
@@ -374,7 +375,7 @@
         }
         let id = format!("{}.{}.{}", job.id, self.spec.name.replace('/', "-"), job.made);
         let class = self.spec.classes.iter().find(|class| class.name == job.class).cloned();
-        let at_most_once = class.is_some_and(|class| class.effect != Effect::Reissuable);
+        let at_most_once = class.is_some_and(|class| class.effect != Effect::Safe);
         let method = if at_most_once { "POST" } else { "GET" };
         let headers = [
             ("Request-Id", id.clone()),
@@ -400,7 +401,7 @@
         let Some(job) = self.jobs.remove(&number) else { return };
         let (conn, id) = (job.conn, job.id.clone());
         let status = if self.hit(FaultKind::Error, &id).is_some() { 500 } else { status };
-        let drawn: f64 = plan::rng_of(self.spec.seed, &id, 0xe7).random();
+        let drawn: f64 = arrivals::request_rng(self.spec.seed, &id, 0xe7).random();
         let status = if drawn < self.spec.tier.error_rate { 500 } else { status };
         event_loop.record(What::Done { id: id.clone(), status });
         let body = format!("{} {} {}\n", self.spec.name, id, job.size);
@@ -418,7 +419,7 @@
             return event_loop.close(conn);
         }
         if self.hit(FaultKind::Noise, &id).is_some() {
-            let mut rng = plan::rng_of(self.spec.seed, &id, 0x01);
+            let mut rng = arrivals::request_rng(self.spec.seed, &id, 0x01);
             let noise: Vec<u8> = (0..200).map(|_| rng.random()).collect();
             return event_loop.write(conn, &noise);
         }
--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -14,7 +14,7 @@
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
 use crate::record::What;
-use crate::scenario::{Balance, Class, Effect, Planted};
+use crate::scenario::{Balance, Class, Effect, SeededDefect};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
@@ -27,7 +27,7 @@
     #[serde(rename = "try_time")]
     pub attempt_timeout: Option<Micros>,
     #[serde(rename = "plant")]
-    pub seeded_defect: Option<Planted>,
+    pub seeded_defect: Option<SeededDefect>,
     /// What a backend that has just started can bear within a window, from all together.
     #[serde(rename = "allowance")]
     pub slow_start_limit: (usize, Micros),
@@ -111,7 +111,7 @@
     }
 
     fn pick(&mut self, now: At) -> Option<BackendEntry> {
-        let drained = self.spec.seeded_defect == Some(Planted::UseDrained);
+        let drained = self.spec.seeded_defect == Some(SeededDefect::UseDrained);
         let fit: Vec<&BackendEntry> =
             self.entries.values().filter(|e| e.health == "Ready" || drained).collect();
         if fit.is_empty() {
@@ -119,8 +119,8 @@
         }
         let newest = fit.iter().find(|entry| Some(&entry.host) == self.newest.as_ref());
         match (self.spec.seeded_defect, newest) {
-            (Some(Planted::CrowdCold), Some(entry)) => return Some((*entry).clone()),
-            (Some(Planted::CrowdTogether), Some(entry)) => {
+            (Some(SeededDefect::CrowdCold), Some(entry)) => return Some((*entry).clone()),
+            (Some(SeededDefect::CrowdTogether), Some(entry)) => {
                 let (most, window) = self.spec.slow_start_limit;
                 while self.given.front().is_some_and(|at| now.since(*at) > window) {
                     self.given.pop_front();
@@ -162,7 +162,7 @@
         self.count += 1;
         let number = self.count;
         self.clients.insert(client, Some(number));
-        event_loop.schedule_after(class.cut_off.scaled(0.95), TimerEvent::CutOff(number));
+        event_loop.schedule_after(class.deadline.scaled(0.95), TimerEvent::CutOff(number));
         let (since, out, tries) = (event_loop.now, None, 0);
         self.held.insert(number, Held { client, class, since, bytes, out, tries, number });
         self.send(event_loop, number);
@@ -206,12 +206,12 @@
             }
         }
         let Some(held) = self.held.get(&number) else { return };
-        let careless = self.spec.seeded_defect == Some(Planted::Resend);
-        let may = not_run || careless || held.class.effect == Effect::Reissuable;
+        let careless = self.spec.seeded_defect == Some(SeededDefect::Resend);
+        let may = not_run || careless || held.class.effect == Effect::Safe;
         if may && held.tries < self.spec.max_attempts {
             return self.send(event_loop, number);
         }
-        let harmless = not_run || self.spec.seeded_defect == Some(Planted::FalseRefusal);
+        let harmless = not_run || self.spec.seeded_defect == Some(SeededDefect::FalseRefusal);
         self.answer(event_loop, number, if harmless { 503 } else { 502 });
     }
 
@@ -219,12 +219,12 @@
         let Some(held) = self.held.get(&number) else { return };
         let nth = held.number.is_multiple_of(20);
         match self.spec.seeded_defect {
-            Some(Planted::DropAnswer) if nth => return,
-            Some(Planted::AnswerLate) if nth => {
-                let late = held.since + held.class.cut_off + Micros::from_millis(120);
+            Some(SeededDefect::DropAnswer) if nth => return,
+            Some(SeededDefect::AnswerLate) if nth => {
+                let late = held.since + held.class.deadline + Micros::from_millis(120);
                 return event_loop.schedule_at(late, TimerEvent::Answer(number, bytes));
             }
-            Some(Planted::AnswerTwice) if nth => event_loop.write(held.client, &bytes),
+            Some(SeededDefect::AnswerTwice) if nth => event_loop.write(held.client, &bytes),
             _ => {}
         }
         self.finish(event_loop, number, &bytes);
@@ -339,7 +339,8 @@
         };
         let (proxy, host, health) = (self.spec.name.clone(), entry.host.clone(), entry.health.clone());
         event_loop.record(What::Told { proxy, host, health, seq: 0 });
-        let forgets = self.spec.seeded_defect == Some(Planted::ForgetDrain) && self.spec.restarted && first;
+        let forgets =
+            self.spec.seeded_defect == Some(SeededDefect::ForgetDrain) && self.spec.restarted && first;
         if forgets && entry.health == "Terminating" {
             return;
         }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -9,12 +9,12 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
+use crate::arrivals::Intent;
 use crate::clock::{At, Micros};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
-use crate::plan::Intent;
 use crate::record::What;
-use crate::scenario::{Callers, Class, Effect};
+use crate::scenario::{Class, ClientBehavior, Effect};
 
 const DOWN: Micros = Micros::from_millis(300); // how long a target that refused is passed over
 const WAIT_ON: Micros = Micros::from_millis(250); // past the cut-off, to see what comes too late
@@ -28,7 +28,7 @@
     pub name: String,
     pub classes: Vec<Class>,
     #[serde(rename = "callers")]
-    pub behavior: Callers,
+    pub behavior: ClientBehavior,
     pub intents: Vec<Intent>,
     /// So many callers in a closed loop; 0 for an open one.
     #[serde(rename = "closed")]
@@ -155,9 +155,9 @@
         if self.spec.random_target {
             return Some(all[self.rng.random_range(0..all.len())]);
         }
-        // Callers are spread over those that belong to the deployment, whether they answer or not.
+        // ClientBehavior are spread over those that belong to the deployment, whether they answer or not.
         let present: Vec<usize> = (0..self.targets.len()).filter(|n| self.targets[*n].up).collect();
-        let caller = self.spec.intents[intent].caller;
+        let caller = self.spec.intents[intent].client;
         let own = present[caller % present.len()];
         Some(if all.contains(&own) { own } else { all[caller % all.len()] })
     }
@@ -213,11 +213,11 @@
         let (intent, id) = (attempt.intent, attempt.id.clone());
         let class = self.class(intent).clone();
         let mut headers = vec![("Request-Id", id), ("Request-Class", class.name.clone())];
-        headers.push(("Request-Timeout", format!("{:.3}", class.cut_off.secs())));
+        headers.push(("Request-Timeout", format!("{:.3}", class.deadline.secs())));
         if self.spec.behavior.marks && attempt.try_no > 0 {
             headers.push(("Client-Retry", "1".to_string()));
         }
-        let once = class.effect != Effect::Reissuable;
+        let once = class.effect != Effect::Safe;
         let (method, body) = if once { ("POST", vec![b'b'; class.body]) } else { ("GET", Vec::new()) };
         let bytes = http_message::encode_request(
             method,
@@ -256,7 +256,7 @@
         let (impatient, slow_read) = (planned.impatient, planned.slow_read);
         let due = self.first_due.get(&intent).copied().unwrap_or(now);
         let Some(attempt) = self.tries.get_mut(&conn) else { return };
-        (attempt.sent, attempt.cut_off) = (Some(now), now + class.cut_off);
+        (attempt.sent, attempt.cut_off) = (Some(now), now + class.deadline);
         let (id, to) = (attempt.id.clone(), self.targets[attempt.target].name.clone());
         let (cut_off, try_no) = (attempt.cut_off, attempt.try_no);
         event_loop.record(What::Sent {
@@ -270,13 +270,13 @@
         });
         if impatient {
             event_loop.schedule_at(
-                now + class.cut_off.scaled(self.spec.behavior.leave_at),
+                now + class.deadline.scaled(self.spec.behavior.leave_at),
                 TimerEvent::Leave(conn, number),
             );
         }
         if slow_read {
             event_loop.set_paused(conn, true);
-            event_loop.schedule_at(now + class.cut_off.scaled(0.3), TimerEvent::ReadOn(conn));
+            event_loop.schedule_at(now + class.deadline.scaled(0.3), TimerEvent::ReadOn(conn));
         }
         event_loop.schedule_at(cut_off + WAIT_ON, TimerEvent::Leave(conn, number));
     }
@@ -314,7 +314,7 @@
         safe: bool,
         after: Option<f64>,
     ) {
-        let may = safe || self.class(intent).effect == Effect::Reissuable;
+        let may = safe || self.class(intent).effect == Effect::Safe;
         if !may
             || try_no >= self.spec.behavior.retries
             || event_loop.now > self.spec.start + self.spec.duration
@@ -384,7 +384,7 @@
     fn open_idle(&mut self, event_loop: &mut Loop) {
         const AT_ONCE: usize = 40;
         let most = self.spec.behavior.idle.min(self.asked + AT_ONCE);
-        let class = self.spec.classes.iter().find(|class| class.effect == Effect::Reissuable).cloned();
+        let class = self.spec.classes.iter().find(|class| class.effect == Effect::Safe).cloned();
         let Some(class) = class else { return };
         while self.asked < most {
             let target = self.asked % self.targets.len(); // those that come later have no idle ones
--- a/crates/lab/src/configuration.rs
+++ b/crates/lab/src/configuration.rs
@@ -55,7 +55,7 @@
     text += &format!(
         "[backends]\ndial = \"{}\"\nidle = \"{}\"\nmost_forwards = {}\nreports = {}\ncold_share = {:?}\n\
          warm_up = \"{}\"\ncold_multiple = {:?}\ncold_window = \"{}\"\n",
-        t.dial, t.idle, t.max_forwards, t.reports, t.cold_share, t.cold_ramp, t.fall_multiple, t.fall_window
+        t.dial, t.idle, t.max_attempts, t.reports, t.cold_share, t.cold_ramp, t.fall_multiple, t.fall_window
     );
     if let Some(most) = t.max_retry_after {
         text += &format!("[answers]\nlongest_retry_after = \"{most}\"\n");
@@ -77,13 +77,13 @@
     }
     for class in &scenario.classes {
         let effect = match class.effect {
-            Effect::Reissuable => "reissuable",
-            Effect::Numbered => "numbered",
+            Effect::Safe => "reissuable",
+            Effect::Keyed => "numbered",
             Effect::AtMostOnce => "at-most-once",
         };
         text += &format!(
             "[tariff.{:?}]\ngoal = \"{}\"\ncut_off = \"{}\"\nvalue = {:?}\neffect = \"{effect}\"\n",
-            class.name, class.goal, class.cut_off, class.value
+            class.name, class.latency_target, class.deadline, class.value
         );
         if let (Some(group), Some(window)) = (class.group, class.window) {
             let group = match group {
@@ -101,8 +101,8 @@
     let t = &scenario.tiers[tier];
     let classes = scenario.classes.iter().map(|class| {
         let effect = match class.effect {
-            Effect::Reissuable => "pure",
-            Effect::Numbered => "token",
+            Effect::Safe => "pure",
+            Effect::Keyed => "token",
             Effect::AtMostOnce => "side_effect",
         };
         let group = class.group.map(|group| match group {
@@ -112,7 +112,7 @@
         });
         json!({
             "group": group, "windowMs": class.window.map(Micros::ms),
-            "name": class.name, "latencyGoalMs": class.goal.ms(), "cutOffMs": class.cut_off.ms(),
+            "name": class.name, "latencyGoalMs": class.latency_target.ms(), "cutOffMs": class.deadline.ms(),
             "value": class.value, "effect": effect,
         })
     });
@@ -130,7 +130,7 @@
             "report": { "how": if t.reports { "answers" } else { "none" }, "columns": columns },
             "peerAddresses": told.peers,
             "allowed": {
-                "maxForwards": t.max_forwards, "cancelling": true, "probes": true, "peers": !told.peers.is_empty(),
+                "maxForwards": t.max_attempts, "cancelling": true, "probes": true, "peers": !told.peers.is_empty(),
                 "retryAfter": t.max_retry_after.is_some(),
                 "maxRetryAfterMs": t.max_retry_after.map_or(0.0, Micros::ms),
                 "connIdleMs": t.idle.ms(), "dialTimeoutMs": t.dial.ms(),
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -22,7 +22,7 @@
 /// A deliberate fault of the stand-in balancer, which the ledger must catch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Planted {
+pub enum SeededDefect {
     /// Sends again what may have run.
     Resend,
     /// Never gives one answer in twenty.
@@ -80,16 +80,20 @@
     /// How long after a change the agents have it.
     pub lag: Micros,
     pub drain_grace: Micros,
-    pub max_forwards: u16,
+    #[serde(rename = "max_forwards")]
+    pub max_attempts: u16,
     pub max_retry_after: Option<Micros>,
     /// Descriptors that a proxy is told it may hold.
     pub sockets: usize,
     /// A link before each backend.
     pub link: Option<Link>,
     /// The stand-in balancer's tries and time for each, and its deliberate fault.
-    pub tries: u16,
-    pub try_time: Option<Micros>,
-    pub plant: Option<Planted>,
+    #[serde(rename = "tries")]
+    pub baseline_max_attempts: u16,
+    #[serde(rename = "try_time")]
+    pub baseline_attempt_timeout: Option<Micros>,
+    #[serde(rename = "plant")]
+    pub seeded_defect: Option<SeededDefect>,
     /// Each backend is a process of its own, which a crash kills.
     pub apart: bool,
     /// Backends and proxies are dealt out over so many zones, and backends into pods of so many.
@@ -148,21 +152,21 @@
     }
 
     /// How many cores its n-th backend has.
-    pub fn cores_of(&self, n: usize) -> usize {
+    pub fn core_count(&self, n: usize) -> usize {
         ((self.cores as f64 * self.size(n)).round() as usize).max(1)
     }
 
     /// Requests of work 1 that a backend of so many cores can do in the window in which it may fall over, `age` after it
     /// started cold.
-    pub fn bearable(&self, cores: usize, age: Micros) -> f64 {
+    pub fn fall_window_capacity(&self, cores: usize, age: Micros) -> f64 {
         let warmed = age.secs() / self.cold_ramp.secs().max(1e-6);
         let warmth = (self.cold_share + (1.0 - self.cold_share) * warmed).min(1.0);
         self.fall_window.secs() / self.service.secs().max(1e-6) * cores as f64 * warmth
     }
 
     /// How many of them, offered in that window, push it over. Below a few dozen chance alone makes such multiples.
-    pub fn pushes_over(&self, bearable: f64) -> f64 {
-        (bearable * self.fall_multiple).max(30.0)
+    pub fn fall_threshold(&self, capacity: f64) -> f64 {
+        (capacity * self.fall_multiple).max(30.0)
     }
 }
 
@@ -201,13 +205,13 @@
             dial: Micros::from_millis(200),
             lag: Micros::from_millis(100),
             drain_grace: Micros::from_millis(400),
-            max_forwards: 3,
+            max_attempts: 3,
             max_retry_after: Some(Micros::from_millis(600)),
             sockets: 4000,
             link: None,
-            tries: 3,
-            try_time: None,
-            plant: None,
+            baseline_max_attempts: 3,
+            baseline_attempt_timeout: None,
+            seeded_defect: None,
             apart: false,
             zones: 1,
             pod: 4,
@@ -238,9 +242,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    Reissuable,
+    #[serde(rename = "reissuable")]
+    Safe,
     /// Repeats are dropped by the backends of a group, within a window.
-    Numbered,
+    #[serde(rename = "numbered")]
+    Keyed,
     AtMostOnce,
 }
 
@@ -257,8 +263,10 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: String,
-    pub goal: Micros,
-    pub cut_off: Micros,
+    #[serde(rename = "goal")]
+    pub latency_target: Micros,
+    #[serde(rename = "cut_off")]
+    pub deadline: Micros,
     #[serde(default = "one")]
     pub value: f64,
     pub effect: Effect,
@@ -288,15 +296,15 @@
     #[serde(default)]
     pub closed: usize,
     #[serde(default, rename = "step")]
-    pub steps: Vec<Step>,
+    pub steps: Vec<RateStep>,
     /// So many at once, every so often, on top.
     pub burst: Option<Burst>,
     /// The part of the arrivals that comes from one caller.
     #[serde(default)]
     pub hot: f64,
     /// How many callers there are.
-    #[serde(default = "fifty")]
-    pub callers: usize,
+    #[serde(default = "fifty", rename = "callers")]
+    pub clients: usize,
 }
 
 fn fifty() -> usize {
@@ -305,7 +313,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Step {
+pub struct RateStep {
     pub at: Micros,
     pub rate: f64,
     /// Drawn as a line from the step before instead of at once.
@@ -322,7 +330,7 @@
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Callers {
+pub struct ClientBehavior {
     /// Further tries of what was refused or may be repeated.
     pub retries: u16,
     pub backoff: Micros,
@@ -344,9 +352,9 @@
     pub link: Option<Link>,
 }
 
-impl Default for Callers {
-    fn default() -> Callers {
-        Callers {
+impl Default for ClientBehavior {
+    fn default() -> ClientBehavior {
+        ClientBehavior {
             retries: 0,
             backoff: Micros::from_millis(40),
             honour: 1.0,
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -9,16 +9,16 @@
 use crate::figures::Figures;
 use crate::ledger::{self, Verdict};
 use crate::outcome::{self, Slice};
+use crate::run::{self, CompletedRun, Failure};
 use crate::scenario::{Scenario, Variant};
-use crate::source::Source;
-use crate::world::{self, Failure, Ran};
-use crate::{plan, record};
+use crate::scenario_file::ScenarioFile;
+use crate::{arrivals, record};
 
 /// Of the JSON results; goes up when a field changes its meaning.
 pub const SCHEMA: u32 = 1;
 
 pub struct Plan {
-    pub source: Source,
+    pub source: ScenarioFile,
     pub seed: Option<u64>,
     pub seeds: u64,
     pub short: bool,
@@ -35,7 +35,7 @@
     pub lawless: bool,
     pub plan: String,
     pub scenario: Scenario,
-    pub ran: Ran,
+    pub ran: CompletedRun,
     pub figures: Figures,
     pub verdict: Verdict,
     pub series: Vec<Slice>,
@@ -116,7 +116,7 @@
     /// Checks all that can be checked before anything is started.
     pub fn variants(&self) -> Result<Vec<(Variant, Scenario)>, String> {
         let base = self.source.scenario(None, self.short)?;
-        let plain = Variant::plain();
+        let plain = Variant::unchanged();
         let mut variants = if base.variants.is_empty() { vec![plain] } else { base.variants.clone() };
         for (key, values) in &base.matrix {
             let with = |variant: &Variant, value: &toml::Value| {
@@ -136,20 +136,20 @@
 
     /// Runs all; `progress` is told how many runs are done, of how many, and what part of the present one.
     pub fn run(&self, progress: &mut dyn FnMut(usize, usize, f64, &str)) -> Result<Vec<Run>, Failure> {
-        let variants = self.variants().map_err(Failure::Unusable)?;
+        let variants = self.variants().map_err(Failure::InvalidInput)?;
         let first = self.seed.unwrap_or_else(|| variants.first().map_or(1, |(_, scenario)| scenario.seed));
         let total = variants.len() * self.seeds as usize;
-        let scratch = Scratch::new(self.out.as_deref()).map_err(Failure::CouldNot)?;
+        let scratch = Scratch::new(self.out.as_deref()).map_err(Failure::Environment)?;
         let mut runs = Vec::new();
         for seed in first..first + self.seeds {
             for (variant, scenario) in &variants {
                 let done = runs.len();
-                let dir = world::dir_of(&scratch.dir, &variant.name, seed);
+                let dir = run::run_dir(&scratch.dir, &variant.name, seed);
                 let (program, stop) = (self.program.clone(), self.stop.clone());
-                let options = world::Options { program, dir, stop, front: None };
+                let options = run::Options { program, dir, stop, front: None };
                 let mut told = |part: f64| progress(done, total, part, &variant.name);
-                let ran = world::run(scenario, seed, &options, &mut told)?;
-                let run = Run::of(variant, scenario.clone(), seed, ran).map_err(Failure::CouldNot)?;
+                let ran = run::run(scenario, seed, &options, &mut told)?;
+                let run = Run::of(variant, scenario.clone(), seed, ran).map_err(Failure::Environment)?;
                 runs.push(run);
                 if self.out.is_none() {
                     let _ = std::fs::remove_dir_all(&options.dir);
@@ -190,12 +190,12 @@
 }
 
 impl Run {
-    pub fn of(variant: &Variant, scenario: Scenario, seed: u64, ran: Ran) -> Result<Run, String> {
-        let records = record::read(&world::records_of(&ran.dir))?;
+    pub fn of(variant: &Variant, scenario: Scenario, seed: u64, ran: CompletedRun) -> Result<Run, String> {
+        let records = record::read(&run::records_path(&ran.dir))?;
         let verdict = ledger::judge(&records, &scenario);
         let figures = outcome::figures(&records, &scenario, ran.start);
         let mut missed = figures.missed(&scenario.bounds);
-        let series = outcome::slices(&records, ran.start, ran.lasts);
+        let series = outcome::slices(&records, ran.start, ran.duration);
         if figures.intents == 0 {
             missed.push("no intent was ever over: nothing was measured".to_string());
         }
@@ -210,15 +210,21 @@
                 );
             }
         }
-        let (variant, lawless) = (variant.name.clone(), variant.lawless);
+        let (variant, lawless) = (variant.name.clone(), variant.skip_rules);
         let faults = records.iter().filter_map(|record| match &record.what {
             record::What::Fault { text, on, .. } => Some(format!("{text} {on}")),
             _ => None,
         });
         // A closed loop's plan is its seed: what is taken of it depends on the answers.
-        let arrivals =
-            if scenario.load.closed > 0 { seed } else { plan::digest(&plan::intents(&scenario, seed)) };
-        let plan = format!("{arrivals:016x}-{:016x}", plan::mix(0, &faults.collect::<Vec<_>>().join(";")));
+        let arrivals = if scenario.load.closed > 0 {
+            seed
+        } else {
+            arrivals::digest(&arrivals::intents(&scenario, seed))
+        };
+        let plan = format!(
+            "{arrivals:016x}-{:016x}",
+            arrivals::hash_with_seed(0, &faults.collect::<Vec<_>>().join(";"))
+        );
         Ok(Run { variant, seed, lawless, plan, scenario, ran, figures, verdict, series, missed, timelines })
     }
 
@@ -263,7 +269,7 @@
         own.filter_map(|run| Some((run.seed, run.figures.get(figure)?))).collect()
     };
     let mut ratios = Vec::new();
-    for compare in scenario.iter().flat_map(|scenario| &scenario.compares) {
+    for compare in scenario.iter().flat_map(|scenario| &scenario.comparisons) {
         let (a, b) = (of(&compare.of, &compare.figure), of(&compare.to, &compare.figure));
         let mut all: Vec<f64> = Vec::new();
         for (seed, value) in a {
@@ -291,7 +297,7 @@
     Results {
         schema: SCHEMA,
         scenario: scenario.map(|scenario| scenario.name.clone()).unwrap_or_default(),
-        lasts_s: scenario.map_or(0.0, |scenario| scenario.lasts.secs()),
+        lasts_s: scenario.map_or(0.0, |scenario| scenario.duration.secs()),
         rules_broken: judged.map(|run| run.verdict.breaches.len()).sum(),
         bounds_missed: runs.iter().map(|run| run.missed.len()).sum::<usize>()
             + ratios.iter().filter(|ratio| ratio.missed.is_some()).count(),
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -27,7 +27,7 @@
     let mut spans = Spans::new();
     for record in records {
         let What::Fault { on, fault: Some(fault), befalls, .. } = &record.what else { continue };
-        if !fault.deadens() {
+        if !fault.prevents_responses() {
             continue;
         }
         let own = spans.entry(befalls.clone()).or_default();
@@ -64,10 +64,10 @@
     let mut found = Heaviest { most: 0.0, over: None };
     for (n, at) in offered.iter().enumerate().filter(|(_, at)| **at > from + window && **at <= until) {
         let first = offered[..n].partition_point(|earlier| at.since(*earlier) > window);
-        let bearable = tier.bearable(cores, at.since(from));
+        let bearable = tier.fall_window_capacity(cores, at.since(from));
         let count = n + 1 - first;
         found.most = found.most.max(count as f64 / bearable.max(1e-9));
-        if found.over.is_none() && count as f64 > tier.pushes_over(bearable) {
+        if found.over.is_none() && count as f64 > tier.fall_threshold(bearable) {
             found.over = Some((*at, count, bearable));
         }
     }
@@ -101,7 +101,7 @@
 }
 
 fn gather<'a>(records: &'a [Record], scenario: &'a Scenario, start: At) -> Gathered<'a> {
-    let end = start + scenario.lasts;
+    let end = start + scenario.duration;
     let mut by: BTreeMap<&str, &str> = BTreeMap::new();
     for record in records {
         if let What::Sent { id, to, .. } | What::Called { id, to, .. } = &record.what {
@@ -127,7 +127,7 @@
                     g.first_fault.get_or_insert(t);
                 }
                 *on.entry(text).or_default() += if *begins { 1 } else { -1 };
-                if fault.is_some_and(|fault| fault.moves_members()) && t < end {
+                if fault.is_some_and(|fault| fault.changes_membership()) && t < end {
                     g.moves.push((t, befalls));
                 }
             }
@@ -251,14 +251,14 @@
 
 /// All facts of a run that began at `start`.
 pub fn facts(records: &[Record], scenario: &Scenario, start: At) -> FleetFigures {
-    let end = start + scenario.lasts;
+    let end = start + scenario.duration;
     let mut f = FleetFigures::default();
     let dead = dead(records, end);
     let mut offered: BTreeMap<&str, Vec<At>> = BTreeMap::new();
     let (mut starts, mut stops) = (Vec::new(), Vec::new());
     let mut at_deads: BTreeMap<String, Vec<At>> = BTreeMap::new();
     let mut talk: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-    let (half, mut late_talk) = (start + scenario.lasts.scaled(0.5), BTreeMap::<&str, u64>::new());
+    let (half, mut late_talk) = (start + scenario.duration.scaled(0.5), BTreeMap::<&str, u64>::new());
     let (mut cost, mut proxies, mut cpu_ms, mut woken) = ((0.0, 0.0), 0u64, 0.0, 0.0);
     for record in records {
         if let Some(host) = at_dead(record, &dead) {
@@ -297,15 +297,15 @@
         }
     }
     for (host, from) in &starts {
-        let Some((tier, _, n)) = scenario.parts(host).first().copied() else { continue };
+        let Some((tier, _, n)) = scenario.components(host).first().copied() else { continue };
         let tier = &scenario.tiers[tier];
         let ended =
             stops.iter().find(|(h, at)| h == host && at > from).map_or(end, |(_, at)| *at + Micros(1));
         let until = (*from + tier.cold_ramp).min(ended);
         let own = offered.get(host.as_str()).map_or(&[][..], |all| all.as_slice());
-        f.cold_most = f.cold_most.max(heaviest(own, (*from, until), tier, tier.cores_of(n)).most);
+        f.cold_most = f.cold_most.max(heaviest(own, (*from, until), tier, tier.core_count(n)).most);
     }
-    let seconds = scenario.lasts.secs().max(1e-6);
+    let seconds = scenario.duration.secs().max(1e-6);
     f.talk_per_s = talk.values().map(|(sent, _)| *sent as f64 / seconds).fold(0.0, f64::max);
     f.talk_bytes_per_s = talk.values().map(|(_, bytes)| *bytes as f64 / seconds).fold(0.0, f64::max);
     f.talk_late_bytes_per_s =
--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -10,7 +10,7 @@
     pub at: Micros,
     /// How long it lasts; without it, until the end.
     #[serde(rename = "for", skip_serializing_if = "Option::is_none")]
-    pub lasts: Option<Micros>,
+    pub duration: Option<Micros>,
     /// Such as `front/s-0`, `front/s-0..3`, `front/s-0,2,5`, or `front/s-*` for all: s backends, p proxies, a agents, l
     /// links before backends, c links before proxies, w the ways of a proxy to and from the others; or `callers`.
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -56,8 +56,8 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub direction: Option<Direction>,
     /// The list that a proxy which returns has in its file.
-    #[serde(default, skip_serializing_if = "Known::is_old")]
-    pub known: Known,
+    #[serde(default, skip_serializing_if = "KnownBackends::is_old")]
+    pub known: KnownBackends,
 }
 
 fn once() -> u32 {
@@ -75,7 +75,7 @@
 /// The list of backends that a proxy finds in its file when it starts anew.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Known {
+pub enum KnownBackends {
     /// As it was when the run began.
     #[default]
     Old,
@@ -83,9 +83,9 @@
     Now,
 }
 
-impl Known {
+impl KnownBackends {
     fn is_old(&self) -> bool {
-        *self == Known::Old
+        *self == KnownBackends::Old
     }
 }
 
@@ -93,7 +93,7 @@
     /// One that begins when it is given, by the name of its kind.
     pub fn now(part: &str, kind: &str, lasts: Micros) -> Option<Fault> {
         let kind = serde_json::from_value(serde_json::Value::String(kind.to_string())).ok()?;
-        Some(Fault { part: part.to_string(), lasts: Some(lasts), kind, times: 1, ..Fault::default() })
+        Some(Fault { part: part.to_string(), duration: Some(lasts), kind, times: 1, ..Fault::default() })
     }
 
     /// How it is told of in the records.
@@ -199,7 +199,7 @@
 
 impl FaultKind {
     /// The letters of the parts that it can befall.
-    pub fn letters(self) -> &'static str {
+    pub fn component_kinds(self) -> &'static str {
         use FaultKind::*;
         match self {
             Mute | Stale | JumpBack | Move | Cut | Behind => "a",
@@ -214,19 +214,19 @@
     }
 
     /// Whether a backend that has it gives no answers.
-    pub fn deadens(self) -> bool {
+    pub fn prevents_responses(self) -> bool {
         use FaultKind::*;
         matches!(self, Crash | Stall | Silence | Endless)
     }
 
     /// Whether it makes a proxy or a backend come or go.
-    pub fn moves_members(self) -> bool {
+    pub fn changes_membership(self) -> bool {
         use FaultKind::*;
         matches!(self, Crash | Drain | Kill | Term | Restart | Grow | Shrink)
     }
 
     /// Whether a proxy that has it must be a process.
-    pub fn of_process(self) -> bool {
+    pub fn needs_process(self) -> bool {
         use FaultKind::*;
         matches!(self, Kill | Term | Freeze | Restart | Grow | Shrink | Slow)
     }
--- a/crates/lab/src/range.rs
+++ b/crates/lab/src/fault_range.rs
@@ -8,24 +8,24 @@
 /// The `[hunt]` of a scenario. Without kinds, all that can befall its parts are drawn.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Hunt {
+pub struct SearchSpace {
     /// The fewest and the most faults of a schedule.
     pub faults: Option<[usize; 2]>,
     #[serde(rename = "fault")]
-    pub ranges: Vec<Range>,
+    pub ranges: Vec<FaultRange>,
 }
 
 /// One kind of fault, and between what it is drawn.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Range {
+pub struct FaultRange {
     pub kind: FaultKind,
     /// One of the parts that these mean; for a partition or a bridge the proxies that are dealt out to sides.
     #[serde(default)]
     pub parts: Vec<String>,
     pub at: Option<[Micros; 2]>,
     #[serde(rename = "for")]
-    pub lasts: Option<[Micros; 2]>,
+    pub duration: Option<[Micros; 2]>,
     pub amount: Option<[f64; 2]>,
     pub chance: Option<[f64; 2]>,
     /// How often it is drawn beside the others.
@@ -37,10 +37,10 @@
     1.0
 }
 
-impl Range {
-    pub fn of(kind: FaultKind, part: String) -> Range {
-        let (at, lasts, amount, chance) = Default::default();
-        Range { kind, parts: vec![part], at, lasts, amount, chance, weight: 1.0 }
+impl FaultRange {
+    pub fn of(kind: FaultKind, part: String) -> FaultRange {
+        let (at, duration, amount, chance) = Default::default();
+        FaultRange { kind, parts: vec![part], at, duration, amount, chance, weight: 1.0 }
     }
 
     /// What is drawn of the amount where the file says nothing.
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -4,8 +4,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::clock::Micros;
-use crate::range::Range;
-use crate::scenario::{Balance, Direction, Fault, FaultKind, Known, Scenario};
+use crate::fault_range::FaultRange;
+use crate::scenario::{Balance, Direction, Fault, FaultKind, KnownBackends, Scenario};
 
 const FEWEST_MOST: [usize; 2] = [1, 4]; // faults of a schedule, unless the file says
 const SHORTEST: Micros = Micros::from_millis(200);
@@ -27,20 +27,20 @@
         }
         for part in &range.parts {
             let sides = matches!(range.kind, FaultKind::Partition | FaultKind::Bridge);
-            let letters = if sides { "w" } else { range.kind.letters() };
-            match scenario.parts(part).first() {
+            let letters = if sides { "w" } else { range.kind.component_kinds() };
+            match scenario.components(part).first() {
                 Some((_, letter, _)) if letters.contains(*letter) => {}
                 Some(_) => return fail(format!("parts: {part:?}: wanted the kind {letters:?}")),
                 // A stand-in has no agent: what would befall one is not drawn.
                 None if part.contains("/a-")
                     && scenario.tiers.iter().any(|tier| tier.balance != Balance::Sparlug) => {}
                 None => {
-                    let parts = scenario.part_kinds().join(", ");
+                    let parts = scenario.component_ranges().join(", ");
                     return fail(format!("parts: there is no {part:?}; there are {parts}"));
                 }
             }
         }
-        let spans = [range.at, range.lasts];
+        let spans = [range.at, range.duration];
         if spans.iter().flatten().any(|[from, to]| from > to) {
             return fail("at and for: wanted the least before the most".to_string());
         }
@@ -55,10 +55,11 @@
 }
 
 /// The kinds that are drawn over a deployment.
-fn ranges(scenario: &Scenario) -> Vec<Range> {
+fn ranges(scenario: &Scenario) -> Vec<FaultRange> {
     use FaultKind::*;
     if !scenario.hunt.ranges.is_empty() {
-        let there = |range: &&Range| range.parts.iter().any(|part| !scenario.parts(part).is_empty());
+        let there =
+            |range: &&FaultRange| range.parts.iter().any(|part| !scenario.components(part).is_empty());
         return scenario.hunt.ranges.iter().filter(there).cloned().collect();
     }
     let mut all = Vec::new();
@@ -72,8 +73,8 @@
         };
         for letter in "spalcw".chars() {
             let part = format!("{}/{letter}-*", tier.name);
-            if !scenario.parts(&part).is_empty() {
-                all.extend(of(letter).iter().map(|kind| Range::of(*kind, part.clone())));
+            if !scenario.components(&part).is_empty() {
+                all.extend(of(letter).iter().map(|kind| FaultRange::of(*kind, part.clone())));
             }
         }
     }
@@ -81,7 +82,7 @@
 }
 
 /// A schedule, the same for the same seed.
-pub fn draw(scenario: &Scenario, seed: u64) -> Vec<Fault> {
+pub fn draw_schedule(scenario: &Scenario, seed: u64) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x4a07);
     let ranges = ranges(scenario);
     let [fewest, most] = scenario.hunt.faults.unwrap_or(FEWEST_MOST);
@@ -111,28 +112,29 @@
     Micros(((drawn / ROUND).round() * ROUND) as i64)
 }
 
-fn draw_one(range: &Range, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
-    let lasts = scenario.lasts;
+fn draw_one(range: &FaultRange, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
+    let lasts = scenario.duration;
     let at = span(rng, range.at.unwrap_or([lasts.scaled(0.05), lasts.scaled(0.7)]));
     let most = lasts.scaled(0.4).max(SHORTEST);
-    let length = span(rng, range.lasts.unwrap_or([SHORTEST, most]));
+    let length = span(rng, range.duration.unwrap_or([SHORTEST, most]));
     let place = rng.random_range(0..range.parts.len().max(1));
-    let found = range.parts.get(place).map(|part| scenario.parts(part)).unwrap_or_default();
+    let found = range.parts.get(place).map(|part| scenario.components(part)).unwrap_or_default();
     let (tier, letter, n) = match found.len() {
         0 => (0, 's', 0),
         count => found[rng.random_range(0..count)],
     };
     let name = |letter: char, n: usize| format!("{}/{letter}-{n}", scenario.tiers[tier].name);
-    let mut fault = Fault { at, kind: range.kind, times: 1, lasts: Some(length), ..Fault::default() };
+    let mut fault = Fault { at, kind: range.kind, times: 1, duration: Some(length), ..Fault::default() };
     if range.kind == FaultKind::Grow || range.kind == FaultKind::Shrink {
-        fault.lasts = range.lasts.map(|_| length);
+        fault.duration = range.duration.map(|_| length);
     }
     fault.part = name(letter, n);
     let rounded = |value: f64| (value * 100.0).round() / 100.0;
     fault.amount = range.amounts(letter).map(|range| rounded(between(rng, range)));
     fault.chance = range.chances().map(|range| rounded(between(rng, range)));
     if matches!(range.kind, FaultKind::Restart | FaultKind::Kill | FaultKind::Term) {
-        fault.known = [Known::Old, Known::Old, Known::None, Known::Now][rng.random_range(0..4)];
+        fault.known = [KnownBackends::Old, KnownBackends::Old, KnownBackends::None, KnownBackends::Now]
+            [rng.random_range(0..4)];
     }
     fault.stays = range.kind == FaultKind::Drain && rng.random::<f64>() < 0.75;
     if letter == 'w' {
--- a/crates/lab/src/watch.rs
+++ b/crates/lab/src/fleet_poller.rs
@@ -15,13 +15,13 @@
 const PATIENCE: Duration = Duration::from_millis(100); // one that is stopped answers nothing
 
 /// A thread that asks some proxies in turn, until this is dropped.
-pub struct Watch {
+pub struct FleetPoller {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Watch {
-    pub fn new(proxies: Vec<(String, SocketAddr)>, every: Micros, recorder: &Recorder) -> Watch {
+impl FleetPoller {
+    pub fn new(proxies: Vec<(String, SocketAddr)>, every: Micros, recorder: &Recorder) -> FleetPoller {
         let (stop, recorder) = (Arc::new(AtomicBool::new(false)), recorder.clone());
         let told = stop.clone();
         let thread = std::thread::spawn(move || {
@@ -38,11 +38,11 @@
                 }
             }
         });
-        Watch { stop, thread: Some(thread) }
+        FleetPoller { stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Watch {
+impl Drop for FleetPoller {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
+use crate::arrivals;
 use crate::clock::Micros;
-use crate::draw;
 use crate::experiment::Run;
-use crate::plan;
+use crate::fault_schedule;
+use crate::run::{self, Failure};
 use crate::scenario::{Fault, Variant};
-use crate::source::Source;
-use crate::world::{self, Failure};
+use crate::scenario_file::ScenarioFile;
 
 /// What breaks is told apart by the rules and bounds that it breaks.
 pub type Marks = BTreeSet<String>;
@@ -26,7 +26,7 @@
 const SEEDS: u64 = 0x7fff_ffff; // what a scenario's file can hold, and people read
 
 pub struct Search {
-    pub source: Source,
+    pub source: ScenarioFile,
     pub program: PathBuf,
     pub seed: u64,
     pub runs: u64,
@@ -72,7 +72,7 @@
 impl Search {
     /// The seed of the n-th schedule, which is also that of its load.
     fn seed_of(&self, number: u64) -> u64 {
-        plan::mix(self.seed, &format!("hunt {number}")) & SEEDS
+        arrivals::hash_with_seed(self.seed, &format!("hunt {number}")) & SEEDS
     }
 
     fn over(&self, since: Instant) -> bool {
@@ -81,22 +81,23 @@
     }
 
     fn lasts(&self) -> Result<Micros, Failure> {
-        let scenario = self.source.scenario(None, false).map_err(Failure::Unusable)?;
-        Ok(self.lasts.unwrap_or(scenario.lasts))
+        let scenario = self.source.scenario(None, false).map_err(Failure::InvalidInput)?;
+        Ok(self.lasts.unwrap_or(scenario.duration))
     }
 
     /// Plays a schedule once.
     fn play(&self, faults: &[Fault], seed: u64) -> Result<Came, Failure> {
-        let source = self.source.with_faults(faults, seed, self.lasts()?).map_err(Failure::Unusable)?;
-        let scenario = source.scenario(None, false).map_err(Failure::Unusable)?;
+        let source = self.source.with_faults(faults, seed, self.lasts()?).map_err(Failure::InvalidInput)?;
+        let scenario = source.scenario(None, false).map_err(Failure::InvalidInput)?;
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("sparlug-hunt-{}-{count}", std::process::id()));
         let (program, stop) = (self.program.clone(), self.stop.clone());
-        let options = world::Options { program, dir: dir.clone(), stop, front: None };
-        let ran = world::run(&scenario, seed, &options, &mut |_| {});
-        let run =
-            ran.and_then(|ran| Run::of(&Variant::plain(), scenario, seed, ran).map_err(Failure::CouldNot));
+        let options = run::Options { program, dir: dir.clone(), stop, front: None };
+        let ran = run::run(&scenario, seed, &options, &mut |_| {});
+        let run = ran.and_then(|ran| {
+            Run::of(&Variant::unchanged(), scenario, seed, ran).map_err(Failure::Environment)
+        });
         let _ = std::fs::remove_dir_all(&dir);
         let run = run?;
         let verdict = &run.verdict;
@@ -144,7 +145,7 @@
                 threads.into_iter().map(|thread| thread.join()).collect::<Vec<_>>()
             });
             for (n, result) in results.into_iter().enumerate() {
-                let count = result.map_err(|_| Failure::CouldNot("a run panicked".to_string()))??;
+                let count = result.map_err(|_| Failure::Environment("a run panicked".to_string()))??;
                 if count == SURE {
                     return Ok(Some(round * self.jobs.max(1) + n));
                 }
@@ -174,12 +175,12 @@
             }
         }
         for n in 0..faults.len() {
-            while let Some(lasts) = faults[n].lasts.filter(|lasts| *lasts >= SHORTEST.scaled(2.0)) {
+            while let Some(lasts) = faults[n].duration.filter(|lasts| *lasts >= SHORTEST.scaled(2.0)) {
                 if self.over(since) {
                     break;
                 }
                 let mut shorter = faults.clone();
-                shorter[n].lasts = Some(Micros((lasts.0 / 2_000).max(1) * 1000));
+                shorter[n].duration = Some(Micros((lasts.0 / 2_000).max(1) * 1000));
                 let candidates = [shorter];
                 if self.first_sure(&candidates, seed, marks)?.is_none() {
                     break;
@@ -192,7 +193,7 @@
 
     fn write(&self, found: &Found, seed: u64) -> Result<(), Failure> {
         let source =
-            self.source.with_faults(&found.faults, seed, self.lasts()?).map_err(Failure::Unusable)?;
+            self.source.with_faults(&found.faults, seed, self.lasts()?).map_err(Failure::InvalidInput)?;
         let marks: Vec<&str> = found.marks.iter().map(String::as_str).collect();
         let (file, marks) = (self.source.path.display(), marks.join(", "));
         let (played, of) = found.replayed;
@@ -206,17 +207,17 @@
             found.drawn
         );
         let text = head + source.text();
-        let could_not = |e| Failure::CouldNot(format!("cannot write {}: {e}", found.path.display()));
+        let could_not = |e| Failure::Environment(format!("cannot write {}: {e}", found.path.display()));
         std::fs::write(&found.path, text).map_err(could_not)
     }
 
     /// Plays all schedules; `told` hears of each run and of what is found. What was found by an interruption stays.
     pub fn run(&self, told: &(dyn Fn(u64, usize, &str) + Sync)) -> Result<Hunted, Failure> {
-        let scenario = self.source.scenario(None, false).map_err(Failure::Unusable)?;
-        let could_not = |e| Failure::CouldNot(format!("cannot write to {}: {e}", self.out.display()));
+        let scenario = self.source.scenario(None, false).map_err(Failure::InvalidInput)?;
+        let could_not = |e| Failure::Environment(format!("cannot write to {}: {e}", self.out.display()));
         std::fs::create_dir_all(&self.out).map_err(could_not)?;
         let mut drawn_over = scenario.clone();
-        drawn_over.lasts = self.lasts.unwrap_or(scenario.lasts);
+        drawn_over.duration = self.lasts.unwrap_or(scenario.duration);
         let since = Instant::now();
         let (next, hunted) = (AtomicU64::new(0), Mutex::new(Hunted::default()));
         let failed: Mutex<Option<Failure>> = Mutex::new(None);
@@ -230,7 +231,7 @@
                         return;
                     }
                     let seed = self.seed_of(number);
-                    let faults = draw::draw(&drawn_over, seed);
+                    let faults = fault_schedule::draw_schedule(&drawn_over, seed);
                     let came = self.play(&faults, seed);
                     let Ok(mut hunted) = hunted.lock() else { return };
                     hunted.played += 1;
@@ -259,7 +260,8 @@
         if let Some(failed) = failed {
             return Err(failed);
         }
-        let mut hunted = hunted.into_inner().map_err(|_| Failure::CouldNot("a run panicked".to_string()))?;
+        let mut hunted =
+            hunted.into_inner().map_err(|_| Failure::Environment("a run panicked".to_string()))?;
         hunted.found.sort_by_key(|found| found.number);
         let mut first = BTreeSet::new();
         for n in 0..hunted.found.len() {
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -258,10 +258,10 @@
         drains(&book, id, e, scenario, slack, &mut verdict);
     }
     for (host, starts) in &book.starts {
-        let Some((tier, _, n)) = scenario.parts(host).first().copied() else { continue };
+        let Some((tier, _, n)) = scenario.components(host).first().copied() else { continue };
         let tier = &scenario.tiers[tier];
         for (from, _) in starts.iter().filter(|(_, warm)| !warm) {
-            cold(&book, host, *from, (tier, tier.cores_of(n)), &mut verdict);
+            cold(&book, host, *from, (tier, tier.core_count(n)), &mut verdict);
         }
     }
     for (proxy, spans) in &book.downs {
@@ -332,7 +332,7 @@
 fn one_effect(book: &Book, id: &str, e: &Request, scenario: &Scenario, slack: Micros, verdict: &mut Verdict) {
     let Some(begun) = book.begun.get(id) else { return };
     let Some(class) = scenario.class(&class_of(book, id, e)) else { return };
-    if class.effect == Effect::Reissuable {
+    if class.effect == Effect::Safe {
         return;
     }
     let mut breach = |at, text| {
@@ -341,7 +341,7 @@
     };
     let (first, rest) = (&begun[0], &begun[1..]);
     match (class.effect, class.group, class.window) {
-        (Effect::Numbered, Some(group), Some(window)) => {
+        (Effect::Keyed, Some(group), Some(window)) => {
             // Repeats within the group and its window are dropped by the backends themselves.
             if let Some((at, host)) = rest.iter().find(|(_, host)| !share(scenario, group, &first.1, host)) {
                 breach(*at, format!("begun at {} and again at {host}, outside of its group", first.1));
@@ -367,7 +367,7 @@
 
 /// Whether two backends drop each other's repeats.
 fn share(scenario: &Scenario, group: Group, one: &str, other: &str) -> bool {
-    let place = |host: &str| scenario.parts(host).first().copied();
+    let place = |host: &str| scenario.components(host).first().copied();
     let (Some((tier, _, one)), Some((other_tier, _, other))) = (place(one), place(other)) else {
         return false;
     };
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -16,7 +16,7 @@
 pub fn figures(records: &[Record], scenario: &Scenario, start: At) -> Figures {
     let mut f = Figures::default();
     let mut took = histogram();
-    let late_from = start + scenario.lasts.scaled(1.0 - END_PART);
+    let late_from = start + scenario.duration.scaled(1.0 - END_PART);
     let (mut late, mut late_honoured, mut arrivals, mut cpu, mut grown) = (0u64, 0u64, 0u64, 0u64, 0u64);
     let lowest = scenario.tiers.last().map(|tier| format!("{}/", tier.name)).unwrap_or_default();
     for record in records {
@@ -54,7 +54,7 @@
     (f.p50_ms, f.p90_ms, f.p99_ms) = (ms(0.5), ms(0.9), ms(0.99));
     f.max_ms = took.max() as f64 / 1000.0;
     f.amplification = share(arrivals, f.intents);
-    f.honoured_per_s = f.honoured as f64 / scenario.lasts.secs();
+    f.honoured_per_s = f.honoured as f64 / scenario.duration.secs();
     f.cpu_us = share(cpu, f.tries);
     f.idle_bytes = share(grown, f.idle);
     f.fleet = facts::facts(records, scenario, start);
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -16,7 +16,7 @@
 use crate::component::Command;
 use crate::ledger::SLOW_TURN;
 use crate::record::What;
-use crate::scenario::Known;
+use crate::scenario::KnownBackends;
 use crate::timeline::Claim;
 
 /// For a proxy to come up.
@@ -50,7 +50,7 @@
     /// It is to belong to the deployment.
     pub wanted: bool,
     /// The list that its next life finds in its file.
-    pub known: Known,
+    pub known: KnownBackends,
     /// Faults that keep it down.
     pub downs: BTreeSet<Claim>,
     /// Faults that keep it from running but for a part of its time.
@@ -84,7 +84,7 @@
 impl Process {
     pub fn new(name: String, (tier, n): (usize, usize), address: SocketAddr, config: PathBuf) -> Process {
         let (child, input, downs, halts, halted, asked, used) = Default::default();
-        let (life, wanted, known) = (Life::Absent, true, Known::Old);
+        let (life, wanted, known) = (Life::Absent, true, KnownBackends::Old);
         Process {
             name,
             tier,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -9,8 +9,8 @@
 use crate::experiment::{Results, Run};
 use crate::outcome::{self, Slice, SLICES};
 use crate::record::{self, Record, What};
-use crate::source::Source;
-use crate::world;
+use crate::run;
+use crate::scenario_file::ScenarioFile;
 
 /// What is drawn of one run.
 pub struct Picture {
@@ -26,17 +26,17 @@
 }
 
 pub fn pictures(runs: &[Run]) -> Result<Vec<Picture>, String> {
-    let picture = |run: &Run| picture(&run.variant, run.seed, &run.ran.dir, run.ran.start, run.ran.lasts);
+    let picture = |run: &Run| picture(&run.variant, run.seed, &run.ran.dir, run.ran.start, run.ran.duration);
     runs.iter().map(picture).collect()
 }
 
 /// From the records that a run has left.
-pub fn pictures_of(results: &Results, source: &Source, out: &Path) -> Result<Vec<Picture>, String> {
-    let lasts = source.scenario(None, false)?.lasts;
+pub fn pictures_of(results: &Results, source: &ScenarioFile, out: &Path) -> Result<Vec<Picture>, String> {
+    let lasts = source.scenario(None, false)?.duration;
     let lasts = if results.lasts_s > 0.0 { Micros::from_ms(results.lasts_s * 1000.0) } else { lasts };
     let one = |run: &crate::experiment::RunResult| {
-        let dir = world::dir_of(out, &run.variant, run.seed);
-        let records = record::read(&world::records_of(&dir))?;
+        let dir = run::run_dir(out, &run.variant, run.seed);
+        let records = record::read(&run::records_path(&dir))?;
         let first = records.iter().find_map(|r| match &r.what {
             What::Sent { due, .. } => Some(*due),
             _ => None,
@@ -47,7 +47,7 @@
 }
 
 fn picture(variant: &str, seed: u64, dir: &Path, start: At, lasts: Micros) -> Result<Picture, String> {
-    let records = record::read(&world::records_of(dir))?;
+    let records = record::read(&run::records_path(dir))?;
     let slices = outcome::slices(&records, start, lasts);
     let bands = bands(&records, start, lasts);
     let seconds = lasts.secs();
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/run.rs
@@ -18,12 +18,12 @@
 use crate::component::{Command, ComponentHandle, Spec};
 use crate::configuration::{self, FleetTold, Told};
 use crate::deployment::zone;
+use crate::fleet_poller::FleetPoller;
 use crate::process::{Became, Life, Process};
 use crate::record::{Recorder, What};
-use crate::scenario::{Balance, Fault, FaultKind, Known, Scenario, Tier};
+use crate::scenario::{Balance, Fault, FaultKind, KnownBackends, Scenario, Tier};
 use crate::timeline::{self, Step};
-use crate::watch::Watch;
-use crate::{balancer, clients, peer_network, plan, relay};
+use crate::{arrivals, balancer, clients, peer_network, relay};
 
 const TURN: Duration = Duration::from_millis(2);
 const LOOK_EVERY: Micros = Micros::from_millis(4); // at the proxies' processes
@@ -32,19 +32,19 @@
 const SEEDS: usize = 3;
 const WATCHED: usize = 8; // proxies that one thread asks in turn
 /// The place of an address that no proxy has.
-const NOBODY: usize = PARTS_MOST;
+const NOBODY: usize = MAX_COMPONENTS_PER_KIND;
 const IPS: usize = 250; // of a run, on each of which a kind of part has so many ports:
 const PORTS: u16 = 5;
 /// Of one kind in a tier, for which there are addresses beside that of nobody.
-pub const PARTS_MOST: usize = IPS * PORTS as usize - 1;
+pub const MAX_COMPONENTS_PER_KIND: usize = IPS * PORTS as usize - 1;
 
 /// Why a run could not be.
 #[derive(Debug)]
 pub enum Failure {
     /// The machine or a program stood in the way: status 1.
-    CouldNot(String),
+    Environment(String),
     /// What was asked for can't be: status 2.
-    Unusable(String),
+    InvalidInput(String),
     Interrupted,
 }
 
@@ -61,10 +61,10 @@
 
 /// What a run leaves behind.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct CompletedRun {
     pub dir: PathBuf,
     pub start: At,
-    pub lasts: Micros,
+    pub duration: Micros,
 }
 
 struct World<'a> {
@@ -108,7 +108,7 @@
 
     /// Where callers find a proxy of the first tier.
     fn front(&self, n: usize) -> SocketAddr {
-        self.address(0, if self.scenario.callers.link.is_some() { 'c' } else { 'p' }, n)
+        self.address(0, if self.scenario.client_behavior.link.is_some() { 'c' } else { 'p' }, n)
     }
 
     fn backend_spec(&self, tier: usize, n: usize, warm: bool) -> backend::Spec {
@@ -120,22 +120,22 @@
         });
         backend::Spec {
             name: self.name(tier, 's', n),
-            tier: Tier { cores: t.cores_of(n), ..t.clone() },
+            tier: Tier { cores: t.core_count(n), ..t.clone() },
             classes: self.scenario.classes.clone(),
             address: self.address(tier, 's', n),
             next_tier: below,
-            seed: plan::mix(self.seed, &t.name),
+            seed: arrivals::hash_with_seed(self.seed, &t.name),
             warm,
         }
     }
 
     fn add(&mut self, spec: Spec, apart: bool) -> Result<(), Failure> {
-        let records = records_of(&self.options.dir);
+        let records = records_path(&self.options.dir);
         let peer = match apart {
             true => ComponentHandle::spawn_process(spec, &self.options.program, &records),
             false => ComponentHandle::spawn_thread(spec, &self.recorder),
         };
-        let peer = peer.map_err(Failure::Unusable)?;
+        let peer = peer.map_err(Failure::InvalidInput)?;
         self.peers.insert(peer.name.clone(), peer);
         Ok(())
     }
@@ -153,7 +153,7 @@
                 let mut address = self.address(t, 's', n);
                 if let Some(link) = tier.link {
                     let (name, listen) = (self.name(t, 'l', n), self.address(t, 'l', n));
-                    let seed = plan::mix(self.seed, &name);
+                    let seed = arrivals::hash_with_seed(self.seed, &name);
                     self.add(Spec::Relay(relay::Spec { name, listen, to: address, link, seed }), false)?;
                     address = listen;
                 }
@@ -180,18 +180,20 @@
                 };
                 let (name, endpoints) =
                     (format!("{}/w", tier.name), (0..tier.proxies).map(endpoint).collect());
-                let (unknown_sender, seed) = (self.address(t, 'w', NOBODY), plan::mix(self.seed, &name));
+                let (unknown_sender, seed) =
+                    (self.address(t, 'w', NOBODY), arrivals::hash_with_seed(self.seed, &name));
                 self.add(
                     Spec::PeerNetwork(peer_network::Spec { name, endpoints, fleet, unknown_sender, seed }),
                     false,
                 )?;
             }
-            let absent = self.scenario.absent(t);
+            let absent = self.scenario.initially_absent(t);
             for n in 0..tier.proxies {
-                if let (0, Some(link)) = (t, self.scenario.callers.link) {
+                if let (0, Some(link)) = (t, self.scenario.client_behavior.link) {
                     if tier.balance != Balance::Direct {
                         let (name, listen) = (self.name(t, 'c', n), self.address(t, 'c', n));
-                        let (to, seed) = (self.address(t, 'p', n), plan::mix(self.seed, &name));
+                        let (to, seed) =
+                            (self.address(t, 'p', n), arrivals::hash_with_seed(self.seed, &name));
                         self.add(Spec::Relay(relay::Spec { name, listen, to, link, seed }), false)?;
                     }
                 }
@@ -202,18 +204,20 @@
                     self.agents.insert((t, n), self.address(t, 'a', n));
                     // Guards against another program on that address, whose answers would pass for the proxy's.
                     let free = std::net::TcpListener::bind(address);
-                    free.map_err(|e| Failure::Unusable(format!("{name} cannot listen on {address}: {e}")))?;
+                    free.map_err(|e| {
+                        Failure::InvalidInput(format!("{name} cannot listen on {address}: {e}"))
+                    })?;
                     let mut process = Process::new(name, (t, n), address, config);
                     process.wanted = !absent.contains(&n);
                     self.proxies.push(process);
                 } else if tier.balance != Balance::Direct {
-                    self.add(Spec::Balancer(self.stand_in(t, n, false, Known::Old)), false)?;
+                    self.add(Spec::Balancer(self.stand_in(t, n, false, KnownBackends::Old)), false)?;
                 }
             }
         }
         for place in 0..self.proxies.len() {
             if self.proxies[place].wanted {
-                self.start_proxy(place, Known::Old)?;
+                self.start_proxy(place, KnownBackends::Old)?;
             }
         }
         while self.proxies.iter().any(|proxy| matches!(proxy.life, Life::Starting(_))) {
@@ -226,33 +230,33 @@
         Ok(())
     }
 
-    fn stand_in(&self, t: usize, n: usize, again: bool, known: Known) -> balancer::Spec {
+    fn stand_in(&self, t: usize, n: usize, again: bool, known: KnownBackends) -> balancer::Spec {
         let tier = &self.scenario.tiers[t];
         let name = self.name(t, 'p', n);
-        let at_first = tier.bearable(tier.cores, Micros::ZERO);
+        let at_first = tier.fall_window_capacity(tier.cores, Micros::ZERO);
         // Well below what pushes it over, so that one alone never does.
-        let allowance = ((tier.pushes_over(at_first) * 0.8) as usize, tier.fall_window);
+        let allowance = ((tier.fall_threshold(at_first) * 0.8) as usize, tier.fall_window);
         balancer::Spec {
             listen: self.address(t, 'p', n),
             balance: tier.balance,
-            max_attempts: tier.tries,
-            attempt_timeout: tier.try_time,
-            seeded_defect: tier.plant,
+            max_attempts: tier.baseline_max_attempts,
+            attempt_timeout: tier.baseline_attempt_timeout,
+            seeded_defect: tier.seeded_defect,
             slow_start_limit: allowance,
             restarted: again,
             entries: self.known(t, known),
             classes: self.scenario.classes.clone(),
-            seed: plan::mix(self.seed, &name),
+            seed: arrivals::hash_with_seed(self.seed, &name),
             name,
         }
     }
 
     /// The list of backends that a file holds.
-    fn known(&self, tier: usize, known: Known) -> Vec<BackendEntry> {
+    fn known(&self, tier: usize, known: KnownBackends) -> Vec<BackendEntry> {
         match known {
-            Known::None => Vec::new(),
-            Known::Old => self.first.get(&tier).cloned().unwrap_or_default(),
-            Known::Now => {
+            KnownBackends::None => Vec::new(),
+            KnownBackends::Old => self.first.get(&tier).cloned().unwrap_or_default(),
+            KnownBackends::Now => {
                 let all = (0..self.scenario.tiers[tier].backends).map(|n| self.entries[&(tier, n)].clone());
                 all.filter(|entry| entry.health != "Gone").collect()
             }
@@ -265,22 +269,23 @@
     }
 
     /// Asks the members of fleets whom they see, until it is dropped.
-    fn watch(&self) -> Vec<Watch> {
+    fn watch(&self) -> Vec<FleetPoller> {
         let tiers = self.scenario.tiers.iter().enumerate();
         let fleets =
             tiers.filter_map(|(t, tier)| Some((t, tier, tier.fleet.filter(|f| f.members == Some(true))?)));
         let all = fleets.flat_map(|(t, tier, fleet)| {
             let one = |n| (self.name(t, 'p', n), self.address(t, 'g', n));
             let proxies: Vec<_> = (0..tier.proxies).map(one).collect();
-            let some =
-                |proxies: &[(String, SocketAddr)]| Watch::new(proxies.to_vec(), fleet.watch, &self.recorder);
+            let some = |proxies: &[(String, SocketAddr)]| {
+                FleetPoller::new(proxies.to_vec(), fleet.watch, &self.recorder)
+            };
             proxies.chunks(WATCHED).map(some).collect::<Vec<_>>()
         });
         all.collect()
     }
 
     /// Writes the configuration of a proxy.
-    fn configure(&self, place: usize, known: Known) -> Result<(), Failure> {
+    fn configure(&self, place: usize, known: KnownBackends) -> Result<(), Failure> {
         let proxy = &self.proxies[place];
         let (t, n) = (proxy.tier, proxy.n);
         // What a file says of the tier is what was so when it was written.
@@ -308,8 +313,8 @@
             name: &proxy.name,
             listen: proxy.address,
             agent: self.agents[&(t, n)],
-            seed: plan::mix(self.seed, &proxy.name),
-            known: (known != Known::None).then(|| self.known(t, known)),
+            seed: arrivals::hash_with_seed(self.seed, &proxy.name),
+            known: (known != KnownBackends::None).then(|| self.known(t, known)),
             balancers,
             peers,
             management: self.address(t, 'g', n),
@@ -319,21 +324,21 @@
             true => configuration::native(self.scenario, t, n, &told),
             false => configuration::platform(self.scenario, t, n, &told),
         };
-        let could_not = |e| Failure::CouldNot(format!("cannot write {}: {e}", proxy.config.display()));
+        let could_not = |e| Failure::Environment(format!("cannot write {}: {e}", proxy.config.display()));
         fs::write(&proxy.config, text).map_err(could_not)
     }
 
-    fn start_proxy(&mut self, place: usize, known: Known) -> Result<(), Failure> {
+    fn start_proxy(&mut self, place: usize, known: KnownBackends) -> Result<(), Failure> {
         let again = self.proxies[place].config.exists() || self.began;
         let (t, n) = (self.proxies[place].tier, self.proxies[place].n);
         let tier = &self.scenario.tiers[t];
         if tier.balance != Balance::Sparlug {
             let spec = Spec::Balancer(self.stand_in(t, n, again, known));
             let peer =
-                ComponentHandle::spawn_process(spec, &self.options.program, &records_of(&self.options.dir));
-            let parts = peer.map_err(Failure::Unusable)?.into_process();
+                ComponentHandle::spawn_process(spec, &self.options.program, &records_path(&self.options.dir));
+            let parts = peer.map_err(Failure::InvalidInput)?.into_process();
             let (child, input) =
-                parts.ok_or_else(|| Failure::CouldNot("a stand-in has no input".to_string()))?;
+                parts.ok_or_else(|| Failure::Environment("a stand-in has no input".to_string()))?;
             let proxy = &mut self.proxies[place];
             proxy.started(child, Some(input));
             for entry in (0..tier.backends).map(|n| self.entries[&(t, n)].clone()) {
@@ -346,7 +351,7 @@
         let proxy = &self.proxies[place];
         let log = OpenOptions::new().create(true).append(true).open(proxy.config.with_extension("log"));
         let log =
-            log.map_err(|e| Failure::CouldNot(format!("cannot write the log of {}: {e}", proxy.name)))?;
+            log.map_err(|e| Failure::Environment(format!("cannot write the log of {}: {e}", proxy.name)))?;
         let mut command = Program::new(&self.options.program);
         command.args(["lab", "hold"]);
         if let Some(pin) = tier.pin {
@@ -355,7 +360,7 @@
         command.arg("--");
         match &tier.program {
             Some(program) if !program.exists() => {
-                return Err(Failure::Unusable(format!(
+                return Err(Failure::InvalidInput(format!(
                     "tier {}: there is no program {}",
                     tier.name,
                     program.display()
@@ -367,7 +372,7 @@
         command.env("ROUTER_CONFIG", &proxy.config).env("SPARLUG_LOG", "debug").stdin(Stdio::null());
         command.stdout(Stdio::null()).stderr(log);
         let child = command.spawn();
-        let child = child.map_err(|e| Failure::Unusable(format!("cannot start {}: {e}", proxy.name)))?;
+        let child = child.map_err(|e| Failure::InvalidInput(format!("cannot start {}: {e}", proxy.name)))?;
         self.proxies[place].started(child, None);
         Ok(())
     }
@@ -388,14 +393,14 @@
                 }
                 Became::Gone => self.start_if_wanted(place)?,
                 Became::Crashed(how) if building => {
-                    return Err(Failure::Unusable(format!("{proxy} ended at its start ({how})")));
+                    return Err(Failure::InvalidInput(format!("{proxy} ended at its start ({how})")));
                 }
                 Became::Crashed(how) => {
                     self.recorder.write(At::now(), What::ProxyDown { proxy, how: format!("crash: {how}") });
                 }
                 Became::Late => {
                     let after = crate::process::READY;
-                    return Err(Failure::CouldNot(format!("{proxy} is not ready after {after}")));
+                    return Err(Failure::Environment(format!("{proxy} is not ready after {after}")));
                 }
             }
         }
@@ -475,7 +480,7 @@
                 self.agents.insert((tier, n), to);
                 let name = self.name(tier, 'p', n);
                 if let Some(place) = self.place(&name) {
-                    self.configure(place, Known::Now)?;
+                    self.configure(place, KnownBackends::Now)?;
                     self.proxies[place].signal(Signal::HUP);
                 }
             }
@@ -525,7 +530,7 @@
 
     fn start_backend(&mut self, name: &str, moved: bool) -> Result<(), Failure> {
         let scenario = self.scenario;
-        let found = scenario.parts(name);
+        let found = scenario.components(name);
         let Some((tier, _, n)) = found.first().copied() else { return Ok(()) };
         let address = moved.then(|| self.address(tier, 'm', n));
         if let Some(entry) = self.entries.get_mut(&(tier, n)) {
@@ -560,23 +565,23 @@
             }
             _ => (0..front.proxies).map(|n| (self.name(0, 'p', n), self.front(n))).collect(),
         };
-        let absent = scenario.absent(0).into_iter().map(|n| self.name(0, 'p', n)).collect();
+        let absent = scenario.initially_absent(0).into_iter().map(|n| self.name(0, 'p', n)).collect();
         // Before the start is set: it may take a while.
-        let intents = plan::intents(scenario, self.seed);
+        let intents = arrivals::intents(scenario, self.seed);
         // Idle connections are opened first, at a pace that the backlog can take.
-        let opening = Micros(scenario.callers.idle as i64 * clients::IDLE_CONNECT_INTERVAL.0 * 4 / 3);
+        let opening = Micros(scenario.client_behavior.idle as i64 * clients::IDLE_CONNECT_INTERVAL.0 * 4 / 3);
         self.start = At::now() + Micros::from_millis(150) + opening;
         let spec = clients::Spec {
             name: "callers".to_string(),
             classes: scenario.classes.clone(),
-            behavior: scenario.callers.clone(),
+            behavior: scenario.client_behavior.clone(),
             intents,
             closed_loop_clients: scenario.load.closed,
             random_target: front.balance == Balance::Direct,
             targets,
             absent_targets: absent,
             start: self.start,
-            duration: scenario.lasts,
+            duration: scenario.duration,
             seed: self.seed,
         };
         self.add(Spec::Clients(spec), false)?;
@@ -584,7 +589,7 @@
         let _watches = self.watch();
         let mut steps: VecDeque<_> = timeline::steps(scenario, &scenario.faults, 0).into();
         let mut given = scenario.faults.len();
-        let last = self.start + scenario.lasts + Micros::from_millis(8000);
+        let last = self.start + scenario.duration + Micros::from_millis(8000);
         loop {
             if !self.began && At::now() >= self.start {
                 self.began = true;
@@ -606,7 +611,7 @@
                 self.looked = At::now();
                 self.look(false)?;
             }
-            progress(At::now().since(self.start).secs() / scenario.lasts.secs());
+            progress(At::now().since(self.start).secs() / scenario.duration.secs());
             let mut over = At::now() > last;
             for (name, peer) in &mut self.peers {
                 if peer.has_exited() {
@@ -614,7 +619,9 @@
                         "callers" => over = true,
                         // A backend's own process that was killed by the plan.
                         _ if scenario.tiers.iter().any(|tier| tier.apart) => {}
-                        _ => return Err(Failure::CouldNot(format!("{name} ended before the run was over"))),
+                        _ => {
+                            return Err(Failure::Environment(format!("{name} ended before the run was over")))
+                        }
                     }
                 }
             }
@@ -636,11 +643,11 @@
         }
         self.proxies.clear();
         let mut ended = Ok(());
-        // Callers first, and all of them also after one has panicked.
+        // ClientBehavior first, and all of them also after one has panicked.
         let mut peers = std::mem::take(&mut self.peers);
         let callers = peers.remove("callers");
         for peer in callers.into_iter().chain(peers.into_values()) {
-            ended = ended.and(peer.stop().map_err(Failure::CouldNot));
+            ended = ended.and(peer.stop().map_err(Failure::Environment));
         }
         ended
     }
@@ -652,7 +659,7 @@
     seed: u64,
     options: &Options,
     progress: &mut dyn FnMut(f64),
-) -> Result<Ran, Failure> {
+) -> Result<CompletedRun, Failure> {
     run_with(scenario, seed, options, None, progress)
 }
 
@@ -663,13 +670,13 @@
     options: &Options,
     injected: Option<&Receiver<Fault>>,
     progress: &mut dyn FnMut(f64),
-) -> Result<Ran, Failure> {
+) -> Result<CompletedRun, Failure> {
     let mut tries = 0..OTHER_ADDRESSES;
     loop {
         let again = tries.next().is_some() && options.front.is_none();
         match once(scenario, seed, options, injected, progress) {
             // Another run, or another program, has one of its addresses: nothing has been played yet.
-            Err(Failure::Unusable(why)) if again && why.contains("Address already in use") => {}
+            Err(Failure::InvalidInput(why)) if again && why.contains("Address already in use") => {}
             done => return done,
         }
     }
@@ -681,11 +688,11 @@
     options: &Options,
     injected: Option<&Receiver<Fault>>,
     progress: &mut dyn FnMut(f64),
-) -> Result<Ran, Failure> {
-    let made = fs::create_dir_all(&options.dir).and_then(|()| File::create(records_of(&options.dir)));
-    made.map_err(|e| Failure::CouldNot(format!("cannot write to {}: {e}", options.dir.display())))?;
-    let recorder = Recorder::open(&records_of(&options.dir), "lab");
-    let recorder = recorder.map_err(|e| Failure::CouldNot(e.to_string()))?;
+) -> Result<CompletedRun, Failure> {
+    let made = fs::create_dir_all(&options.dir).and_then(|()| File::create(records_path(&options.dir)));
+    made.map_err(|e| Failure::Environment(format!("cannot write to {}: {e}", options.dir.display())))?;
+    let recorder = Recorder::open(&records_path(&options.dir), "lab");
+    let recorder = recorder.map_err(|e| Failure::Environment(e.to_string()))?;
     let mut world = World {
         scenario,
         seed,
@@ -704,9 +711,9 @@
     };
     let played = world.build().and_then(|()| world.play(injected, progress));
     let down = world.take_down();
-    let (start, lasts) = (world.start, scenario.lasts);
+    let (start, duration) = (world.start, scenario.duration);
     played.and(down)?;
-    Ok(Ran { dir: options.dir.clone(), start, lasts })
+    Ok(CompletedRun { dir: options.dir.clone(), start, duration })
 }
 
 /// A part of loopback that no other run on this machine uses.
@@ -718,10 +725,10 @@
 }
 
 /// Where a run's records, configurations and logs are, below the folder of all.
-pub fn dir_of(out: &Path, variant: &str, seed: u64) -> PathBuf {
+pub fn run_dir(out: &Path, variant: &str, seed: u64) -> PathBuf {
     out.join(format!("{}-{seed}", variant.replace(['/', ' '], "-")))
 }
 
-pub fn records_of(dir: &Path) -> PathBuf {
+pub fn records_path(dir: &Path) -> PathBuf {
     dir.join("records.jsonl")
 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -8,19 +8,21 @@
 
 use crate::clock::Micros;
 pub use crate::deployment::{
-    Balance, Burst, Callers, Class, Distribution, Effect, Fleet, Group, Link, Load, Planted, Step, Tier,
+    Balance, Burst, Class, ClientBehavior, Distribution, Effect, Fleet, Group, Link, Load, RateStep,
+    SeededDefect, Tier,
 };
 use crate::fault::numbers;
-pub use crate::fault::{Direction, Fault, FaultKind, Known};
+pub use crate::fault::{Direction, Fault, FaultKind, KnownBackends};
+pub use crate::fault_range::SearchSpace;
 pub use crate::figures::Bounds;
-pub use crate::range::Hunt;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
     pub about: String,
-    pub lasts: Micros,
+    #[serde(rename = "lasts")]
+    pub duration: Micros,
     /// How long the short form lasts, to which all times of faults and steps are drawn together.
     pub short: Micros,
     #[serde(default = "one_seed")]
@@ -30,8 +32,8 @@
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
     pub load: Load,
-    #[serde(default)]
-    pub callers: Callers,
+    #[serde(default, rename = "callers")]
+    pub client_behavior: ClientBehavior,
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
     #[serde(default)]
@@ -42,10 +44,10 @@
     #[serde(default)]
     pub matrix: BTreeMap<String, Vec<Value>>,
     #[serde(default, rename = "compare")]
-    pub compares: Vec<Compare>,
+    pub comparisons: Vec<Comparison>,
     /// What a search draws.
     #[serde(default)]
-    pub hunt: Hunt,
+    pub hunt: SearchSpace,
 }
 
 fn one_seed() -> u64 {
@@ -61,21 +63,21 @@
     /// Instead of the scenario's.
     pub bounds: Option<Bounds>,
     /// Its rules are not judged: a baseline may break them.
-    #[serde(default)]
-    pub lawless: bool,
+    #[serde(default, rename = "lawless")]
+    pub skip_rules: bool,
 }
 
 impl Variant {
     /// The scenario as it stands.
-    pub fn plain() -> Variant {
-        Variant { name: "sparlug".to_string(), set: Table::new(), bounds: None, lawless: false }
+    pub fn unchanged() -> Variant {
+        Variant { name: "sparlug".to_string(), set: Table::new(), bounds: None, skip_rules: false }
     }
 }
 
 /// A bound on the ratio of one figure between two variants.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Compare {
+pub struct Comparison {
     pub figure: String,
     pub of: String,
     pub to: String,
@@ -85,7 +87,7 @@
 
 impl Scenario {
     /// The parts that a name or a pattern means: tier, letter, number.
-    pub fn parts(&self, pattern: &str) -> Vec<(usize, char, usize)> {
+    pub fn components(&self, pattern: &str) -> Vec<(usize, char, usize)> {
         if pattern == "callers" {
             return vec![(0, 'k', 0)];
         }
@@ -107,7 +109,7 @@
             'a' if sparlug => t.proxies,
             'l' if t.link.is_some() => t.backends,
             'w' if t.fleet.is_some() => t.proxies,
-            'c' if tier == 0 && self.callers.link.is_some() && !direct => t.proxies,
+            'c' if tier == 0 && self.client_behavior.link.is_some() && !direct => t.proxies,
             _ => 0,
         }
     }
@@ -115,8 +117,8 @@
     /// Whether a tier's proxies are processes that faults can befall: the program is one always, a stand-in where it must.
     pub fn has_processes(&self, tier: usize) -> bool {
         let of_process = |fault: &Fault| {
-            let parts = self.parts(&fault.part);
-            fault.kind.of_process()
+            let parts = self.components(&fault.part);
+            fault.kind.needs_process()
                 && parts.first().is_some_and(|(t, letter, _)| (*t, *letter) == (tier, 'p'))
         };
         match self.tiers[tier].balance {
@@ -127,14 +129,14 @@
     }
 
     /// The proxies of a tier that are not there at the start, since a fault has them come later.
-    pub fn absent(&self, tier: usize) -> Vec<usize> {
+    pub fn initially_absent(&self, tier: usize) -> Vec<usize> {
         let mut first: BTreeMap<usize, (Micros, bool)> = BTreeMap::new();
         for fault in &self.faults {
             let grows = fault.kind == FaultKind::Grow;
             if !grows && fault.kind != FaultKind::Shrink {
                 continue;
             }
-            let parts = self.parts(&fault.part);
+            let parts = self.components(&fault.part);
             for (n, (_, _, proxy)) in
                 parts.iter().enumerate().filter(|(_, (t, letter, _))| (*t, *letter) == (tier, 'p'))
             {
@@ -149,12 +151,12 @@
     }
 
     /// The ways between proxies that a fault befalls, from one to another, and of which tier.
-    pub fn ways(&self, fault: &Fault) -> Result<(usize, Vec<(usize, usize)>), String> {
+    pub fn network_paths(&self, fault: &Fault) -> Result<(usize, Vec<(usize, usize)>), String> {
         let proxies = |pattern: &str, field: &str, letters: &str| -> Result<(usize, Vec<usize>), String> {
-            let found = self.parts(pattern);
+            let found = self.components(pattern);
             let Some((tier, letter, _)) = found.first().copied().filter(|(_, l, _)| letters.contains(*l))
             else {
-                let parts = self.part_kinds().join(", ");
+                let parts = self.component_ranges().join(", ");
                 return Err(format!("{field}: there is no proxy {pattern:?}; there are {parts}"));
             };
             if self.count(tier, 'w') == 0 || letter == 'c' {
@@ -228,22 +230,26 @@
     pub fn check_fault(&self, fault: &Fault) -> Result<(), String> {
         let of_ways = !fault.sides.is_empty() || !fault.pairs.is_empty();
         let kind = || serde_json::to_string(&fault.kind).unwrap_or_default();
-        let found = self.parts(&fault.part);
+        let found = self.components(&fault.part);
         if found.is_empty() && !of_ways {
-            let parts = self.part_kinds().join(", ");
+            let parts = self.component_ranges().join(", ");
             return Err(format!("there is no such part; there are {parts}"));
         }
         let letter = if of_ways { 'w' } else { found[0].1 };
-        if !fault.kind.letters().contains(letter) {
-            return Err(format!("{} befalls parts of the kind {:?} only", kind(), fault.kind.letters()));
+        if !fault.kind.component_kinds().contains(letter) {
+            return Err(format!(
+                "{} befalls parts of the kind {:?} only",
+                kind(),
+                fault.kind.component_kinds()
+            ));
         }
         if letter == 'w' {
-            self.ways(fault)?;
+            self.network_paths(fault)?;
         }
         let (sides, bridge) = (fault.sides.len(), fault.kind == FaultKind::Bridge);
         let unit = |share: Option<f64>| share.is_none_or(|share| (0.0..=1.0).contains(&share));
         let why = match fault.kind {
-            FaultKind::Herd if fault.lasts.is_some() => {
+            FaultKind::Herd if fault.duration.is_some() => {
                 "a herd has no length: it is gone and comes back at once"
             }
             FaultKind::Partition if !(2..=3).contains(&sides) => "sides: wanted two or three",
@@ -262,7 +268,7 @@
         Err(why.to_string())
     }
 
-    pub fn part_kinds(&self) -> Vec<String> {
+    pub fn component_ranges(&self) -> Vec<String> {
         let kinds = |tier: usize| "spalcw".chars().map(move |letter| (tier, letter));
         let all =
             (0..self.tiers.len()).flat_map(kinds).filter(|(tier, letter)| self.count(*tier, *letter) > 0);
@@ -272,12 +278,12 @@
         all.map(named).chain(["callers".to_string()]).collect()
     }
 
-    pub fn draw_together(&mut self, by: f64) {
-        self.lasts = self.lasts.scaled(by);
+    pub fn scale_times(&mut self, by: f64) {
+        self.duration = self.duration.scaled(by);
         for fault in &mut self.faults {
             (fault.at, fault.step, fault.every) =
                 (fault.at.scaled(by), fault.step.scaled(by), fault.every.scaled(by));
-            fault.lasts = fault.lasts.map(|lasts| lasts.scaled(by));
+            fault.duration = fault.duration.map(|duration| duration.scaled(by));
         }
         self.load.steps.iter_mut().for_each(|step| step.at = step.at.scaled(by));
         for tier in &mut self.tiers {
--- a/crates/lab/src/source.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -5,27 +5,27 @@
 use toml::{Table, Value};
 
 use crate::clock::Micros;
-use crate::draw;
+use crate::fault_schedule;
 use crate::figures::Figures;
+use crate::run::MAX_COMPONENTS_PER_KIND;
 use crate::scenario::{Balance, Effect, Fault, Scenario, Variant};
-use crate::world::PARTS_MOST;
 
 /// A file with what is to be changed in it.
 #[derive(Clone)]
-pub struct Source {
+pub struct ScenarioFile {
     pub path: PathBuf,
     text: String,
     table: Table,
 }
 
-impl Source {
-    pub fn read(path: &Path) -> Result<Source, String> {
+impl ScenarioFile {
+    pub fn read(path: &Path) -> Result<ScenarioFile, String> {
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-        Source::of(path, text)
+        ScenarioFile::of(path, text)
     }
 
-    pub fn of(path: &Path, text: String) -> Result<Source, String> {
+    pub fn of(path: &Path, text: String) -> Result<ScenarioFile, String> {
         let at = |e: toml::de::Error| {
             let line = e.span().map_or(1, |span| text[..span.start].matches('\n').count() + 1);
             format!("{}:{line}: {}", path.display(), e.message().replace('\n', " "))
@@ -33,11 +33,11 @@
         // Once as it stands: guards against an unknown field being told without its line.
         toml::from_str::<Scenario>(&text).map_err(at)?;
         let table = toml::from_str(&text).map_err(at)?;
-        Ok(Source { path: path.to_path_buf(), text, table })
+        Ok(ScenarioFile { path: path.to_path_buf(), text, table })
     }
 
     /// The same deployment with other faults alone, for one seed, and nothing to be set beside it.
-    pub fn with_faults(&self, faults: &[Fault], seed: u64, lasts: Micros) -> Result<Source, String> {
+    pub fn with_faults(&self, faults: &[Fault], seed: u64, lasts: Micros) -> Result<ScenarioFile, String> {
         let mut source = self.clone();
         let list: Result<Vec<Value>, _> = faults.iter().map(Value::try_from).collect();
         let list = list.map_err(|e| format!("a fault cannot be written: {e}"))?;
@@ -85,7 +85,7 @@
         }
         self.check(&scenario)?;
         if short {
-            scenario.draw_together(scenario.short.secs() / scenario.lasts.secs());
+            scenario.scale_times(scenario.short.secs() / scenario.duration.secs());
         }
         Ok(scenario)
     }
@@ -98,7 +98,9 @@
 
     fn check(&self, scenario: &Scenario) -> Result<(), String> {
         let path = self.path.display();
-        if scenario.lasts == Micros::ZERO || scenario.short == Micros::ZERO || scenario.short > scenario.lasts
+        if scenario.duration == Micros::ZERO
+            || scenario.short == Micros::ZERO
+            || scenario.short > scenario.duration
         {
             return Err(format!("{path}: lasts and short: wanted spans above 0, short no longer than lasts"));
         }
@@ -108,10 +110,10 @@
         if (scenario.load.rate > 0.0) == (scenario.load.closed > 0) {
             return Err(format!("{path}: [load]: wanted one of rate and closed, above 0"));
         }
-        if scenario.callers.idle > 18_500 {
+        if scenario.client_behavior.idle > 18_500 {
             return Err(format!("{path}: [callers] idle: wanted at most 18500, for want of descriptors"));
         }
-        if scenario.load.callers == 0 {
+        if scenario.load.clients == 0 {
             return Err(format!("{path}: [load] callers: wanted at least 1"));
         }
         for (n, tier) in scenario.tiers.iter().enumerate() {
@@ -119,8 +121,8 @@
             let last = n + 1 == scenario.tiers.len();
             let why = match tier {
                 t if t.name.is_empty() || t.name.contains(['/', ' ']) => "name: wanted a word",
-                t if !(1..=PARTS_MOST).contains(&t.backends) => "backends: wanted 1 to 1249",
-                t if !(1..=PARTS_MOST).contains(&t.proxies) => "proxies: wanted 1 to 1249",
+                t if !(1..=MAX_COMPONENTS_PER_KIND).contains(&t.backends) => "backends: wanted 1 to 1249",
+                t if !(1..=MAX_COMPONENTS_PER_KIND).contains(&t.proxies) => "proxies: wanted 1 to 1249",
                 t if t.sizes.iter().any(|size| !(0.1..=10.0).contains(size)) => {
                     "sizes: wanted 0.1 to 10 each"
                 }
@@ -135,7 +137,9 @@
                 t if !(1..=26).contains(&t.zones) || t.pod == 0 => {
                     "zones and pod: wanted 1 to 26 zones, pods above 0"
                 }
-                t if t.plant.is_some() && t.balance == Balance::Sparlug => "plant: only stand-ins have one",
+                t if t.seeded_defect.is_some() && t.balance == Balance::Sparlug => {
+                    "plant: only stand-ins have one"
+                }
                 t if scenario.tiers[..n].iter().any(|o| o.name == t.name) => {
                     "name: there is one of that name"
                 }
@@ -144,7 +148,7 @@
             return Err(format!("{path}:{at}: tier {:?}: {why}", tier.name));
         }
         for (n, class) in scenario.classes.iter().enumerate() {
-            let numbered = class.effect == Effect::Numbered;
+            let numbered = class.effect == Effect::Keyed;
             if numbered != class.group.is_some() || numbered != class.window.is_some() {
                 let at = self.line_of("[[class]]", n);
                 let name = &class.name;
@@ -164,11 +168,11 @@
             let at = self.text.lines().position(|line| line.contains(name.as_str())).map_or(1, |at| at + 1);
             Figures::known(name).map_err(|why| format!("{path}:{at}: bounds: {why}"))?;
         }
-        draw::check(scenario).map_err(|(n, why)| {
+        fault_schedule::check(scenario).map_err(|(n, why)| {
             let at = n.map_or_else(|| self.line_of("[hunt]", 0), |n| self.line_of("[[hunt.fault]]", n));
             format!("{path}:{at}: hunt: {why}")
         })?;
-        for (n, compare) in scenario.compares.iter().enumerate() {
+        for (n, compare) in scenario.comparisons.iter().enumerate() {
             let at = self.line_of("[[compare]]", n);
             for name in [&compare.of, &compare.to] {
                 if !scenario.variants.iter().any(|variant| variant.name == *name) {
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Micros;
 use crate::component::Command;
-use crate::scenario::{Fault, FaultKind, Known, Scenario};
+use crate::scenario::{Fault, FaultKind, KnownBackends, Scenario};
 use crate::{agent, backend, clients, peer_network, relay};
 
 const NOTICE: Micros = Micros::from_millis(500); // until a crash is known
@@ -32,7 +32,7 @@
     Back {
         proxy: String,
         claim: Claim,
-        known: Known,
+        known: KnownBackends,
     },
     /// Stops a proxy, for good or but for a part of its time.
     Halt {
@@ -79,16 +79,16 @@
         let number = (first + number) as u32 * DIVERSE;
         for round in 0..fault.times.max(1) {
             let begin = fault.at + fault.every.scaled(f64::from(round));
-            let parts = scenario.parts(&fault.part);
+            let parts = scenario.components(&fault.part);
             // All ways that are befallen at once are one fault.
             let together =
-                fault.kind.letters().contains('w') && parts.first().is_none_or(|(_, l, _)| *l == 'w');
+                fault.kind.component_kinds().contains('w') && parts.first().is_none_or(|(_, l, _)| *l == 'w');
             if together && fault.step == Micros::ZERO {
                 let say = (fault.text(&fault.part), fault.part.clone());
                 ways_steps(
                     scenario,
                     fault,
-                    (begin, fault.lasts.map(|lasts| begin + lasts)),
+                    (begin, fault.duration.map(|lasts| begin + lasts)),
                     number,
                     say,
                     &mut steps,
@@ -97,7 +97,7 @@
             }
             for (i, (tier, letter, n)) in parts.into_iter().enumerate() {
                 let at = begin + fault.step.scaled(i as f64);
-                let when = (at, fault.lasts.map(|lasts| at + lasts));
+                let when = (at, fault.duration.map(|lasts| at + lasts));
                 let number = number + i as u32;
                 let name = match letter {
                     'k' => "callers".to_string(),
@@ -114,7 +114,7 @@
             }
         }
     }
-    steps.retain(|(at, _)| *at <= scenario.lasts);
+    steps.retain(|(at, _)| *at <= scenario.duration);
     steps.sort_by_key(|(at, _)| *at);
     steps
 }
@@ -134,7 +134,7 @@
     steps: &mut Vec<(Micros, Step)>,
 ) {
     // Checked with the scenario.
-    let Ok((tier, pairs)) = scenario.ways(fault) else { return };
+    let Ok((tier, pairs)) = scenario.network_paths(fault) else { return };
     say(fault.kind, (at, off), text, steps);
     let name = format!("{}/w", scenario.tiers[tier].name);
     let (kind, amount, jitter, chance) = (fault.kind, fault.amount, fault.jitter, fault.chance);
--- a/crates/lab/src/views.rs
+++ b/crates/lab/src/views.rs
@@ -46,7 +46,7 @@
                 lives.comings.push(t);
                 lives.last_change = t;
             }
-            What::Fault { on, fault: Some(fault), .. } if fault.letters().contains('w') => {
+            What::Fault { on, fault: Some(fault), .. } if fault.component_kinds().contains('w') => {
                 match lives.ways.last_mut().filter(|(_, to)| !*on && *to == end) {
                     Some(last) => last.1 = t,
                     None if *on && *fault != FaultKind::Delay => lives.ways.push((t, end)),
--- a/crates/lab/tests/facts.rs
+++ b/crates/lab/tests/facts.rs
@@ -9,7 +9,7 @@
 use sparlug_lab::outcome;
 use sparlug_lab::record::{Record, What};
 use sparlug_lab::scenario::{FaultKind, Scenario};
-use sparlug_lab::source::Source;
+use sparlug_lab::scenario_file::ScenarioFile;
 
 const TEXT: &str = r#"
 name = "forged"
@@ -34,7 +34,7 @@
 "#;
 
 fn scenario(more: &str) -> Result<Scenario, String> {
-    Source::of(Path::new("forged.toml"), TEXT.to_string() + more)?.scenario(None, false)
+    ScenarioFile::of(Path::new("forged.toml"), TEXT.to_string() + more)?.scenario(None, false)
 }
 
 fn record(ms: i64, part: &str, what: What) -> Record {
@@ -254,7 +254,8 @@
     let text = TEXT.replace("proxies = 2", "proxies = 4");
     let fault = "[[fault]]\nat = \"1s\"\nkind = \"bridge\"\nthrough = \"front/p-1\"\n\
                  sides = [[\"front/p-0,1\"], [\"front/p-2,3\"]]\n";
-    let scenario = Source::of(Path::new("b.toml"), text + fault).unwrap().scenario(None, false).unwrap();
-    let (tier, ways) = scenario.ways(&scenario.faults[0]).unwrap();
+    let scenario =
+        ScenarioFile::of(Path::new("b.toml"), text + fault).unwrap().scenario(None, false).unwrap();
+    let (tier, ways) = scenario.network_paths(&scenario.faults[0]).unwrap();
     assert_eq!((tier, ways), (0, vec![(0, 2), (0, 3), (2, 0), (3, 0)]));
 }
--- a/crates/lab/tests/ledger.rs
+++ b/crates/lab/tests/ledger.rs
@@ -7,7 +7,7 @@
 use sparlug_lab::ledger::{judge, timeline, Rule, Verdict};
 use sparlug_lab::record::{Record, What};
 use sparlug_lab::scenario::Scenario;
-use sparlug_lab::source::Source;
+use sparlug_lab::scenario_file::ScenarioFile;
 
 const TEXT: &str = r#"
 name = "forged"
@@ -43,7 +43,7 @@
 "#;
 
 fn scenario() -> Scenario {
-    Source::of(Path::new("forged.toml"), TEXT.to_string()).unwrap().scenario(None, false).unwrap()
+    ScenarioFile::of(Path::new("forged.toml"), TEXT.to_string()).unwrap().scenario(None, false).unwrap()
 }
 
 const P: &str = "front/p-0";
--- a/crates/lab/tests/parts.rs
+++ b/crates/lab/tests/parts.rs
@@ -7,15 +7,15 @@
 use sparlug_lab::outcome;
 use sparlug_lab::record::{self, Record, Recorder, What};
 use sparlug_lab::scenario::{Bounds, Scenario};
-use sparlug_lab::source::Source;
-use sparlug_lab::{http_message, plan};
+use sparlug_lab::scenario_file::ScenarioFile;
+use sparlug_lab::{arrivals, http_message};
 
 fn calm() -> String {
     std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/calm.toml")).unwrap()
 }
 
-fn source(text: String) -> Result<Source, String> {
-    Source::of(Path::new("x.toml"), text)
+fn source(text: String) -> Result<ScenarioFile, String> {
+    ScenarioFile::of(Path::new("x.toml"), text)
 }
 
 fn fault(text: String) -> String {
@@ -28,9 +28,9 @@
     source.set("callers.impatient=0.1").unwrap();
     source.set("load.burst={every=\"1s\", size=5}").unwrap();
     let scenario = source.scenario(None, false).unwrap();
-    let first = plan::intents(&scenario, 3);
-    assert!((0..10).all(|_| plan::intents(&scenario, 3) == first));
-    assert_ne!(plan::digest(&plan::intents(&scenario, 4)), plan::digest(&first));
+    let first = arrivals::intents(&scenario, 3);
+    assert!((0..10).all(|_| arrivals::intents(&scenario, 3) == first));
+    assert_ne!(arrivals::digest(&arrivals::intents(&scenario, 4)), arrivals::digest(&first));
     assert!(first.windows(2).all(|two| two[0].at <= two[1].at));
     let impatient = first.iter().filter(|intent| intent.impatient).count() as f64 / first.len() as f64;
     assert!((0.06..0.14).contains(&impatient), "{impatient}");
@@ -41,7 +41,7 @@
     let mut source = source(calm()).unwrap();
     source.set("load.rate=100").unwrap();
     source.set("load.step=[{at=\"2s\", rate=1000, ramp=true}, {at=\"6s\", rate=50}]").unwrap();
-    let all = plan::intents(&source.scenario(None, false).unwrap(), 1);
+    let all = arrivals::intents(&source.scenario(None, false).unwrap(), 1);
     let between = |from: i64, to: i64| {
         let within = |at: Micros| at >= Micros::from_millis(from) && at < Micros::from_millis(to);
         all.iter().filter(|intent| within(intent.at)).count()
@@ -58,7 +58,9 @@
     let mut tier = scenario.tiers[0].clone();
     for distribution in ["fixed", "exponential", "lognormal"] {
         tier.distribution = serde_json::from_value(distribution.into()).unwrap();
-        let drawn = (0..4000).map(|n| plan::service(&tier, &mut plan::rng_of(1, &format!("id-{n}"), 2)).ms());
+        let drawn = (0..4000).map(|n| {
+            arrivals::service_time(&tier, &mut arrivals::request_rng(1, &format!("id-{n}"), 2)).ms()
+        });
         let mean = drawn.sum::<f64>() / 4000.0;
         assert!((18.5..21.5).contains(&mean), "{distribution}: {mean}");
     }
@@ -108,7 +110,7 @@
     let base = source.scenario(None, false).unwrap();
     let wide = source.scenario(base.variants.first(), false).unwrap();
     assert_eq!((base.tiers[0].backends, wide.tiers[0].backends), (4, 9));
-    assert_eq!((base.load.rate, wide.load.rate, wide.callers.retries), (130.0, 7.0, 4));
+    assert_eq!((base.load.rate, wide.load.rate, wide.client_behavior.retries), (130.0, 7.0, 4));
     assert!(source.set("tier.4.backends=1").unwrap_err().contains("wanted a place from 0 to 0"));
     assert!(source.set("nothing").unwrap_err().contains("KEY=VALUE"));
     source.set("tier.0.nonsense=1").unwrap();
@@ -134,8 +136,8 @@
         + "[[fault]]\nat = \"4s\"\nfor = \"2s\"\npart = \"front/s-*\"\nkind = \"stall\"\nstep = \"800ms\"\n";
     let short = source(text).unwrap().scenario(None, true).unwrap();
     let fault = &short.faults[0];
-    assert_eq!(short.lasts, Micros::from_millis(3000));
-    assert_eq!((fault.at, fault.lasts), (Micros::from_millis(1500), Some(Micros::from_millis(750))));
+    assert_eq!(short.duration, Micros::from_millis(3000));
+    assert_eq!((fault.at, fault.duration), (Micros::from_millis(1500), Some(Micros::from_millis(750))));
     assert_eq!(fault.step, Micros::from_millis(300));
 }
 
