--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -146,8 +146,8 @@
     assert_eq!(counter(&proxy, "taken"), 1);
 }
 
-/// A connection attempt ends when its client closes, also where the settings forbid cancelling what a backend
-/// runs.
+/// A connection attempt ends when its client closes, also where the settings forbid cancelling attempts that
+/// run.
 #[test]
 fn connection_attempt_is_cancelled_when_its_client_closes() {
     for cancelling in ["true", "false"] {
--- a/crates/proxy/tests/discovery_outage.rs
+++ b/crates/proxy/tests/discovery_outage.rs
@@ -44,8 +44,8 @@
     /// A full list in which the first backend drains.
     fn draining_list(&self) -> String {
         let hosts = [("Terminating", 0), ("Ready", 1)].map(|(health, number): (_, usize)| {
-            let dial = self.listeners[number].local_addr().unwrap();
-            format!(r#"{{"host":"h{number}","dial":"{dial}","site":"a","health":"{health}"}}"#)
+            let address = self.listeners[number].local_addr().unwrap();
+            format!(r#"{{"host":"h{number}","dial":"{address}","site":"a","health":"{health}"}}"#)
         });
         response("200 OK", "", &format!(r#"{{"seq":5,"whole":true,"hosts":[{}]}}"#, hosts.join(",")))
     }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -68,8 +68,7 @@
     assert_eq!(counter(&proxy, "taken"), 1, "the request is not accepted");
 }
 
-/// The proxy exits only when the last client has read its response and closed its connection, or has had time
-/// to do so.
+/// The proxy exits only when the last client has read its response and closed, or has had time to do so.
 #[test]
 fn proxy_exits_when_the_last_client_has_closed() {
     let backend = backend();
--- a/crates/proxy/tests/list_watch.rs
+++ b/crates/proxy/tests/list_watch.rs
@@ -121,8 +121,8 @@
 }
 
 fn full_list(version: u32, backend: &TcpListener) -> String {
-    let dial = backend.local_addr().unwrap();
-    let host = format!(r#"{{"host":"h1","dial":"{dial}","site":"a","health":"Ready"}}"#);
+    let address = backend.local_addr().unwrap();
+    let host = format!(r#"{{"host":"h1","dial":"{address}","site":"a","health":"Ready"}}"#);
     response("200 OK", "", &format!(r#"{{"seq":{version},"whole":true,"hosts":[{host}]}}"#))
 }
 
--- a/crates/proxy/tests/slow_connects.rs
+++ b/crates/proxy/tests/slow_connects.rs
@@ -12,8 +12,8 @@
     unreachable_backend, write, Proxy,
 };
 
-/// Settings with long deadlines and a long connect time-out, so that a connect that takes a second is no
-/// failure.
+/// Settings with long deadlines and a long connect time-out, so that a connect of one second does not
+/// fail.
 fn patient_settings(effect: &str) -> String {
     let settings = settings(20_000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":20000");
     settings.replace(r#""effect":"pure""#, effect)
@@ -21,8 +21,8 @@
 
 /// Accepts and closes the connections that filled the listener's backlog. Connections attempted meanwhile are
 /// established with the kernel's next SYN, one second after the first.
-fn clear_backlog(backend: &TcpListener, full: &[TcpStream]) {
-    full.iter().for_each(|_| drop(accept(backend)));
+fn clear_backlog(backend: &TcpListener, backlog: &[TcpStream]) {
+    backlog.iter().for_each(|_| drop(accept(backend)));
 }
 
 fn request_timeout_s(text: &str) -> f64 {
@@ -33,7 +33,7 @@
 /// Guards against a backend that goes on working for a client that no longer waits.
 #[test]
 fn request_timeout_is_the_time_left_at_the_write_not_at_the_decision() {
-    let (backend, full) = unreachable_backend();
+    let (backend, backlog) = unreachable_backend();
     let proxy = Proxy::start_with(&[&backend], 1024, &patient_settings(r#""effect":"pure""#));
     let (mut client, sent) = (proxy.connect(), Instant::now());
     write(&mut client, &request("GET", "/read", "15"));
@@ -41,7 +41,7 @@
     std::thread::sleep(Duration::from_millis(500));
     // The request can't have been written before this.
     let elapsed_s = sent.elapsed().as_secs_f64();
-    clear_backlog(&backend, &full);
+    clear_backlog(&backend, &backlog);
     let mut conn = accept(&backend);
     let text = read_message(&mut conn);
     assert!(
@@ -64,11 +64,11 @@
     write(&mut client, &request("POST", "/read", "15"));
     let mut first = accept(&backend);
     read_message(&mut first);
-    let full = fill_backlog(&backend);
+    let backlog = fill_backlog(&backend);
     close(first);
     while counter(&proxy, "forwards") < 2 {}
     std::thread::sleep(wait);
-    clear_backlog(&backend, &full);
+    clear_backlog(&backend, &backlog);
     let (received, retries) = channel();
     std::thread::spawn(move || {
         while let Ok((mut conn, _)) = backend.accept() {
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Start times of backends, corrected where the wall clock that stamped them is wrong.
+//! Start times of backends, corrected where the wall clock that they come from has stepped.
 
 mod helper;
 
--- a/crates/proxy/tests/truncated_responses.rs
+++ b/crates/proxy/tests/truncated_responses.rs
@@ -34,8 +34,7 @@
     write(&mut client, &request(method, path, "30"));
     let mut conn = accept(&backend);
     read_message(&mut conn);
-    // The loop finds the partial response and the end together, so that it can't forward the part before the
-    // end.
+    // The loop finds the partial response and its end together, so it can't forward the part first.
     proxy.pause();
     write(&mut conn, partial);
     end(conn);
@@ -55,8 +54,7 @@
     }
 }
 
-/// The name of the case, the valid bytes that the response begins with, and how the connection ends after
-/// them.
+/// The name of the case, the valid first bytes of the response, and how the connection ends after them.
 const TRUNCATIONS: [(&str, &str, EndConnection); 6] = [
     ("no length, reset", "half of it", reset),
     ("no length, reset before the body", "", reset),
@@ -96,8 +94,7 @@
     }
 }
 
-/// Once a part of the response was forwarded, the client sees that it is incomplete: the last chunk never
-/// comes.
+/// After a part of the response was forwarded, the client sees that it is incomplete: it gets no last chunk.
 #[test]
 fn response_of_unknown_length_that_is_reset_midway_is_incomplete_for_the_client() {
     let backend = backend();
