--- a/crates/lab/src/agent.rs
+++ b/crates/lab/src/agent.rs
@@ -1,5 +1,6 @@
-//! A stand-in agent of discovery for one tier: the list and the watch as the platform's protocol has them, one
-//! address for each proxy, with lag, silence, an old list, a version that jumps back, and a move.
+//! A discovery agent for one tier, in place of the platform's: it serves the list of backends and watches on
+//! it in the platform's protocol, at one address for each proxy. Its faults are lag, silence, an old list, a
+//! version that jumps back, lost connections, delayed responses and a move to another address.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,6 +13,7 @@
 use crate::http_message;
 use crate::record::What;
 
+/// A backend on the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendEntry {
     pub host: String,
@@ -28,6 +30,7 @@
     pub started_ms: f64,
 }
 
+/// What the agent is started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub name: String,
@@ -37,15 +40,16 @@
     pub lag: Micros,
 }
 
+/// Commands of the running scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
     Set(BackendEntry),
-    /// Says nothing to this proxy any more.
+    /// Stops or resumes responding to this proxy.
     Mute {
         proxy: usize,
         on: bool,
     },
-    /// Goes on with the list as it is now, for this proxy.
+    /// Freezes the list that this proxy gets, or unfreezes it.
     Stale {
         proxy: usize,
         on: bool,
@@ -53,17 +57,17 @@
     JumpBack {
         by: u64,
     },
-    /// Resets this proxy's connections, and lets none come up.
+    /// Resets this proxy's connections and refuses new ones.
     Cut {
         proxy: usize,
         on: bool,
     },
-    /// Tells this proxy the list as it was so long ago.
+    /// Serves this proxy the list as it was this long ago.
     Behind {
         proxy: usize,
         by: Option<Micros>,
     },
-    /// Answers this proxy so much later.
+    /// Delays the responses to this proxy.
     Delay {
         proxy: usize,
         by: Micros,
@@ -74,51 +78,54 @@
     },
 }
 
+/// What a timer is for.
 #[derive(Debug)]
 pub enum TimerEvent {
-    Set(BackendEntry),
-    Wait(ConnId, u64),
-    /// An answer that was held back.
-    Answer(ConnId, Vec<u8>, Vec<BackendEntry>, u64),
-    /// A change has come of age for those who hear it late.
-    Look,
+    Apply(BackendEntry),
+    WatchTimeout(ConnId, u64),
+    /// A delayed response.
+    SendResponse(ConnId, Vec<u8>, Vec<BackendEntry>, u64),
+    /// A change is now old enough for proxies that get the list late.
+    NotifyWatches,
 }
 
-struct Side {
+/// What one proxy sees of the agent.
+struct ProxyView {
     name: String,
     listener: Option<ListenerId>,
-    mute: bool,
-    /// What it goes on with while it is stale.
-    frozen: Option<(u64, Vec<BackendEntry>)>,
-    behind: Option<Micros>,
-    delay: Micros,
+    muted: bool,
+    /// The version and the list that it gets while it is stale.
+    frozen_list: Option<(u64, Vec<BackendEntry>)>,
+    list_delay: Option<Micros>,
+    response_delay: Micros,
     address: SocketAddr,
-    cut: bool,
-    /// It has moved, and the proxy has not asked at the new address yet.
+    disconnected: bool,
+    /// The agent has moved, and the proxy has not sent a request to the new address yet.
     moved: bool,
-    /// What counts as told to the proxy, whether or not it asks: the health of each backend.
-    had: BTreeMap<String, String>,
+    /// The health of each backend that counts as known to the proxy, whether or not it sent a request.
+    known_health: BTreeMap<String, String>,
 }
 
-/// How the list stood from a moment on.
-struct Stood {
+/// The list as it was from `since` on.
+struct ListVersion {
     since: At,
     version: u64,
     entries: Vec<BackendEntry>,
 }
 
+/// The discovery agent of one tier.
 pub struct Agent {
     spec: Spec,
-    sides: Vec<Side>,
+    views: Vec<ProxyView>,
     version: u64,
     entries: BTreeMap<String, BackendEntry>,
-    /// Which version changed which host last, and how it stood then.
+    /// All changes, each with its version and the entry after it.
     changes: Vec<(u64, BackendEntry)>,
-    history: Vec<Stood>,
-    /// Watches that wait: the side, from which version, and the number of the call.
-    waiting: BTreeMap<ConnId, (usize, u64, u64)>,
-    conns: BTreeMap<ConnId, usize>,
-    calls: u64,
+    history: Vec<ListVersion>,
+    /// Open watches: the proxy, the version that it has, and the number of the watch.
+    watches: BTreeMap<ConnId, (usize, u64, u64)>,
+    connections: BTreeMap<ConnId, usize>,
+    watch_count: u64,
 }
 
 type Loop = EventLoop<TimerEvent>;
@@ -126,31 +133,40 @@
 impl Agent {
     pub fn new(spec: Spec) -> Agent {
         let entries = spec.entries.iter().map(|entry| (entry.host.clone(), entry.clone())).collect();
-        let (sides, changes, history, waiting, conns) = Default::default();
-        let mut agent =
-            Agent { spec, sides, version: 1000, entries, changes, history, waiting, conns, calls: 0 };
-        agent.note(At::default());
+        let (views, changes, history, watches, connections) = Default::default();
+        let mut agent = Agent {
+            spec,
+            views,
+            version: 1000,
+            entries,
+            changes,
+            history,
+            watches,
+            connections,
+            watch_count: 0,
+        };
+        agent.record_version(At::default());
         agent
     }
 
-    /// Remembers how the list stands.
-    fn note(&mut self, since: At) {
+    /// Adds the current list to the history.
+    fn record_version(&mut self, since: At) {
         let entries = self.entries.values().cloned().collect();
-        self.history.push(Stood { since, version: self.version, entries });
+        self.history.push(ListVersion { since, version: self.version, entries });
     }
 
-    /// What this side is told: the version, and the list.
-    fn told_to(&self, side: usize, now: At) -> (u64, Vec<BackendEntry>) {
-        let side = &self.sides[side];
-        if let Some(frozen) = &side.frozen {
-            return frozen.clone();
+    /// The version and the list that this proxy gets now.
+    fn list_for(&self, view: usize, now: At) -> (u64, Vec<BackendEntry>) {
+        let view = &self.views[view];
+        if let Some(frozen_list) = &view.frozen_list {
+            return frozen_list.clone();
         }
-        let until = now - side.behind.unwrap_or(Micros::ZERO);
-        let stood = self.history.iter().rev().find(|stood| side.behind.is_none() || stood.since <= until);
-        stood.map(|stood| (stood.version, stood.entries.clone())).unwrap_or_default()
+        let shown_at = now - view.list_delay.unwrap_or(Micros::ZERO);
+        let past = self.history.iter().rev().find(|past| view.list_delay.is_none() || past.since <= shown_at);
+        past.map(|past| (past.version, past.entries.clone())).unwrap_or_default()
     }
 
-    fn set(&mut self, event_loop: &mut Loop, entry: BackendEntry) {
+    fn apply(&mut self, event_loop: &mut Loop, entry: BackendEntry) {
         self.version += 1;
         if entry.health == "Gone" {
             self.entries.remove(&entry.host);
@@ -158,149 +174,158 @@
             self.entries.insert(entry.host.clone(), entry.clone());
         }
         self.changes.push((self.version, entry));
-        self.note(event_loop.now);
-        self.tell_all(event_loop);
-        for by in self.sides.iter().filter_map(|side| side.behind).collect::<Vec<_>>() {
-            event_loop.schedule_after(by + Micros(1), TimerEvent::Look);
+        self.record_version(event_loop.now);
+        self.notify_watches(event_loop);
+        for by in self.views.iter().filter_map(|view| view.list_delay).collect::<Vec<_>>() {
+            event_loop.schedule_after(by + Micros(1), TimerEvent::NotifyWatches);
         }
     }
 
-    fn tell_all(&mut self, event_loop: &mut Loop) {
-        self.count(event_loop);
-        let all: Vec<_> = self.waiting.iter().map(|(conn, (side, from, _))| (*conn, *side, *from)).collect();
-        for (conn, side, from) in all {
-            if !self.sides[side].mute && from != self.told_to(side, event_loop.now).0 {
-                self.waiting.remove(&conn);
-                self.tell(event_loop, conn, side, Some(from));
+    fn notify_watches(&mut self, event_loop: &mut Loop) {
+        self.record_pushed(event_loop);
+        let all: Vec<_> = self.watches.iter().map(|(conn, (view, from, _))| (*conn, *view, *from)).collect();
+        for (conn, view, from) in all {
+            if !self.views[view].muted && from != self.list_for(view, event_loop.now).0 {
+                self.watches.remove(&conn);
+                self.send_list(event_loop, conn, view, Some(from));
             }
         }
     }
 
-    /// Counts as told what it has for each proxy: lists are pushed, and the agent is on the proxy's own machine.
-    /// What it holds back itself counts when it is written.
-    fn count(&mut self, event_loop: &mut Loop) {
-        for side in 0..self.sides.len() {
-            let Side { mute, cut, moved, delay, .. } = self.sides[side];
-            if mute || cut || moved || delay > Micros::ZERO {
+    /// Records the changes of each proxy's list as told to it. They count from now, because lists are pushed
+    /// and the agent runs on the proxy's machine; a response that the agent delays counts when it is written.
+    fn record_pushed(&mut self, event_loop: &mut Loop) {
+        for view in 0..self.views.len() {
+            let ProxyView { muted, disconnected, moved, response_delay, .. } = self.views[view];
+            if muted || disconnected || moved || response_delay > Micros::ZERO {
                 continue;
             }
-            let (seq, entries) = self.told_to(side, event_loop.now);
-            let has: BTreeMap<_, _> = entries.into_iter().map(|entry| (entry.host, entry.health)).collect();
-            let side = &mut self.sides[side];
-            let gone = side.had.keys().filter(|host| !has.contains_key(*host)).map(|host| (host, "Gone"));
-            let changed = has.iter().filter(|(host, health)| side.had.get(*host) != Some(*health));
+            let (seq, entries) = self.list_for(view, event_loop.now);
+            let current: BTreeMap<_, _> =
+                entries.into_iter().map(|entry| (entry.host, entry.health)).collect();
+            let view = &mut self.views[view];
+            let gone = view
+                .known_health
+                .keys()
+                .filter(|host| !current.contains_key(*host))
+                .map(|host| (host, "Gone"));
+            let changed =
+                current.iter().filter(|(host, health)| view.known_health.get(*host) != Some(*health));
             for (host, health) in gone.chain(changed.map(|(host, health)| (host, health.as_str()))) {
-                let (proxy, host, health) = (side.name.clone(), host.clone(), health.to_string());
+                let (proxy, host, health) = (view.name.clone(), host.clone(), health.to_string());
                 event_loop.record(What::Told { proxy, host, health, seq });
             }
-            side.had = has;
+            view.known_health = current;
         }
     }
 
-    /// Writes the list, or what changed since a version.
-    fn tell(&mut self, event_loop: &mut Loop, conn: ConnId, side: usize, from: Option<u64>) {
-        let (version, entries) = self.told_to(side, event_loop.now);
-        let known = from.filter(|from| *from <= version && *from >= 1000);
-        let (whole, hosts) = match known {
+    /// Sends the full list, or the changes since a version that the agent knows.
+    fn send_list(&mut self, event_loop: &mut Loop, conn: ConnId, view: usize, from: Option<u64>) {
+        let (version, entries) = self.list_for(view, event_loop.now);
+        let known_version = from.filter(|from| *from <= version && *from >= 1000);
+        let (full, hosts) = match known_version {
             None => (true, entries),
             Some(from) => {
                 let changes = self.changes.iter().filter(|(at, _)| *at > from && *at <= version);
-                let mut last = BTreeMap::new();
-                changes.for_each(|(_, entry)| drop(last.insert(entry.host.clone(), entry.clone())));
-                (false, last.into_values().collect())
+                let mut latest = BTreeMap::new();
+                changes.for_each(|(_, entry)| drop(latest.insert(entry.host.clone(), entry.clone())));
+                (false, latest.into_values().collect())
             }
         };
-        let body = serde_json::json!({ "seq": version, "whole": whole, "hosts": hosts }).to_string();
-        let answer = http_message::encode_response(
+        let body = serde_json::json!({ "seq": version, "whole": full, "hosts": hosts }).to_string();
+        let response = http_message::encode_response(
             200,
             &[("Content-Type", "application/json".into())],
             body.as_bytes(),
         );
-        match self.sides[side].delay {
-            Micros::ZERO => self.answer(event_loop, conn, answer, hosts, version),
-            delay => event_loop.schedule_after(delay, TimerEvent::Answer(conn, answer, hosts, version)),
+        match self.views[view].response_delay {
+            Micros::ZERO => self.write_list(event_loop, conn, response, hosts, version),
+            delay => {
+                event_loop.schedule_after(delay, TimerEvent::SendResponse(conn, response, hosts, version))
+            }
         }
     }
 
-    fn answer(
+    fn write_list(
         &mut self,
         event_loop: &mut Loop,
         conn: ConnId,
-        answer: Vec<u8>,
+        response: Vec<u8>,
         hosts: Vec<BackendEntry>,
         seq: u64,
     ) {
-        // One that went away in the meantime has been told nothing.
-        let Some(side) = self.conns.get(&conn).copied() else { return };
-        event_loop.write(conn, &answer);
-        let proxy = &self.sides[side].name;
+        // If the connection has closed in the meantime, the proxy was told nothing.
+        let Some(view) = self.connections.get(&conn).copied() else { return };
+        event_loop.write(conn, &response);
+        let proxy = &self.views[view].name;
         for entry in hosts {
             let (host, health) = (entry.host, entry.health);
             event_loop.record(What::Told { proxy: proxy.clone(), host, health, seq });
         }
     }
 
-    fn calls_on(&mut self, event_loop: &mut Loop, conn: ConnId) {
-        let Some(side) = self.conns.get(&conn).copied() else { return };
-        if self.sides[side].mute {
+    fn handle_requests(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        let Some(view) = self.connections.get(&conn).copied() else { return };
+        if self.views[view].muted {
             return;
         }
-        while let Ok(Some(call)) = http_message::parse_request(event_loop.input(conn)) {
-            event_loop.consume(conn, call.length);
-            let query = call.path.split_once('?').map_or("", |(_, query)| query);
-            let field = |name: &str| {
+        while let Ok(Some(request)) = http_message::parse_request(event_loop.input(conn)) {
+            event_loop.consume(conn, request.length);
+            let query = request.path.split_once('?').map_or("", |(_, query)| query);
+            let query_number = |name: &str| {
                 let found = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
                 found.and_then(|value| value.parse::<u64>().ok())
             };
-            if std::mem::take(&mut self.sides[side].moved) {
-                self.count(event_loop);
+            if std::mem::take(&mut self.views[view].moved) {
+                self.record_pushed(event_loop);
             }
-            if !call.path.starts_with("/v1/endpoints") {
+            if !request.path.starts_with("/v1/endpoints") {
                 event_loop.write(conn, &http_message::encode_response(404, &[], b""));
                 continue;
             }
-            let version = self.told_to(side, event_loop.now).0;
-            match (field("index"), field("wait")) {
+            let version = self.list_for(view, event_loop.now).0;
+            match (query_number("index"), query_number("wait")) {
                 (Some(from), Some(wait)) if from == version && wait > 0 => {
-                    self.calls += 1;
-                    self.waiting.insert(conn, (side, from, self.calls));
+                    self.watch_count += 1;
+                    self.watches.insert(conn, (view, from, self.watch_count));
                     event_loop.schedule_after(
                         Micros::from_millis(wait.min(60_000) as i64),
-                        TimerEvent::Wait(conn, self.calls),
+                        TimerEvent::WatchTimeout(conn, self.watch_count),
                     );
                 }
-                (from, _) => self.tell(event_loop, conn, side, from),
+                (from, _) => self.send_list(event_loop, conn, view, from),
             }
         }
     }
 
-    fn shut(&mut self, event_loop: &mut Loop, side: usize, reset: bool) {
-        let Some(listener) = self.sides[side].listener.take() else { return };
+    fn close_listener(&mut self, event_loop: &mut Loop, view: usize, reset: bool) {
+        let Some(listener) = self.views[view].listener.take() else { return };
         event_loop.connections_of(listener).into_iter().for_each(|conn| {
             if reset {
                 event_loop.reset(conn);
             } else {
                 event_loop.close(conn);
             }
-            self.conns.remove(&conn);
-            self.waiting.remove(&conn);
+            self.connections.remove(&conn);
+            self.watches.remove(&conn);
         });
         event_loop.close_listener(listener);
     }
 
-    fn open(&mut self, event_loop: &mut Loop, side: usize) {
-        let to = self.sides[side].address;
+    fn open_listener(&mut self, event_loop: &mut Loop, view: usize) {
+        let to = self.views[view].address;
         match event_loop.listen(to) {
-            Ok(listener) => self.sides[side].listener = Some(listener),
+            Ok(listener) => self.views[view].listener = Some(listener),
             Err(e) => event_loop.record(What::Note { text: format!("agent cannot listen on {to}: {e}") }),
         }
     }
 
-    /// Takes up what came in while it was silent.
-    fn speak_again(&mut self, event_loop: &mut Loop, side: usize) {
-        let conns: Vec<_> = self.conns.iter().filter(|(_, of)| **of == side).map(|(conn, _)| *conn).collect();
-        conns.into_iter().for_each(|conn| self.calls_on(event_loop, conn));
-        self.tell_all(event_loop);
+    /// Handles the requests that came in while the agent was silent.
+    fn resume(&mut self, event_loop: &mut Loop, view: usize) {
+        let conns: Vec<_> =
+            self.connections.iter().filter(|(_, of)| **of == view).map(|(conn, _)| *conn).collect();
+        conns.into_iter().for_each(|conn| self.handle_requests(event_loop, conn));
+        self.notify_watches(event_loop);
     }
 }
 
@@ -311,42 +336,56 @@
     fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
         for (name, address) in self.spec.listen.clone() {
             let listener = Some(event_loop.listen(address)?);
-            let (mute, frozen, behind, delay, cut, moved) = Default::default();
-            let had = self.entries.values().map(|entry| (entry.host.clone(), entry.health.clone())).collect();
-            self.sides.push(Side { name, listener, mute, frozen, behind, delay, address, cut, moved, had });
+            let (muted, frozen_list, list_delay, response_delay, disconnected, moved) = Default::default();
+            let known_health =
+                self.entries.values().map(|entry| (entry.host.clone(), entry.health.clone())).collect();
+            self.views.push(ProxyView {
+                name,
+                listener,
+                muted,
+                frozen_list,
+                list_delay,
+                response_delay,
+                address,
+                disconnected,
+                moved,
+                known_health,
+            });
         }
         Ok(())
     }
 
-    fn on_accept(&mut self, _event_loop: &mut Loop, on: ListenerId, conn: ConnId) {
-        if let Some(side) = self.sides.iter().position(|side| side.listener == Some(on)) {
-            self.conns.insert(conn, side);
+    fn on_accept(&mut self, _event_loop: &mut Loop, listener: ListenerId, conn: ConnId) {
+        if let Some(view) = self.views.iter().position(|view| view.listener == Some(listener)) {
+            self.connections.insert(conn, view);
         }
     }
 
     fn on_data(&mut self, event_loop: &mut Loop, conn: ConnId) {
-        self.calls_on(event_loop, conn);
+        self.handle_requests(event_loop, conn);
     }
 
     fn on_close(&mut self, event_loop: &mut Loop, conn: ConnId, _how: ConnectionEnd) {
         event_loop.close(conn);
-        self.conns.remove(&conn);
-        self.waiting.remove(&conn);
+        self.connections.remove(&conn);
+        self.watches.remove(&conn);
     }
 
     fn on_timer(&mut self, event_loop: &mut Loop, event: TimerEvent) {
         match event {
-            TimerEvent::Set(entry) => self.set(event_loop, entry),
-            TimerEvent::Answer(conn, answer, hosts, version) => {
-                self.answer(event_loop, conn, answer, hosts, version)
+            TimerEvent::Apply(entry) => self.apply(event_loop, entry),
+            TimerEvent::SendResponse(conn, response, hosts, version) => {
+                self.write_list(event_loop, conn, response, hosts, version)
             }
-            TimerEvent::Look => self.tell_all(event_loop),
-            TimerEvent::Wait(conn, call) => {
-                let found =
-                    self.waiting.get(&conn).filter(|(side, _, c)| *c == call && !self.sides[*side].mute);
-                if let Some((side, from, _)) = found.copied() {
-                    self.waiting.remove(&conn);
-                    self.tell(event_loop, conn, side, Some(from));
+            TimerEvent::NotifyWatches => self.notify_watches(event_loop),
+            TimerEvent::WatchTimeout(conn, watch) => {
+                let found = self
+                    .watches
+                    .get(&conn)
+                    .filter(|(view, _, number)| *number == watch && !self.views[*view].muted);
+                if let Some((view, from, _)) = found.copied() {
+                    self.watches.remove(&conn);
+                    self.send_list(event_loop, conn, view, Some(from));
                 }
             }
         }
@@ -356,51 +395,52 @@
         match command {
             Command::Set(entry) => {
                 let lag = self.spec.lag;
-                event_loop.schedule_after(lag, TimerEvent::Set(entry));
+                event_loop.schedule_after(lag, TimerEvent::Apply(entry));
             }
             Command::Mute { proxy, on } => {
-                self.sides[proxy].mute = on;
-                self.speak_again(event_loop, proxy);
+                self.views[proxy].muted = on;
+                self.resume(event_loop, proxy);
             }
             Command::Stale { proxy, on } => {
                 let now = (self.version, self.entries.values().cloned().collect());
-                self.sides[proxy].frozen = on.then_some(now);
-                self.speak_again(event_loop, proxy);
+                self.views[proxy].frozen_list = on.then_some(now);
+                self.resume(event_loop, proxy);
             }
             Command::JumpBack { by } => {
-                // As after the loss of its memory: fewer versions than before, all of them new.
+                // As after a loss of its state: the version is lower, and the changes since older ones are
+                // unknown.
                 self.version = self.version.saturating_sub(by);
                 self.changes.clear();
                 self.version = self.version.min(999);
-                self.note(event_loop.now);
-                self.tell_all(event_loop);
+                self.record_version(event_loop.now);
+                self.notify_watches(event_loop);
             }
             Command::Cut { proxy, on } => {
-                self.sides[proxy].cut = on;
+                self.views[proxy].disconnected = on;
                 if on {
-                    self.shut(event_loop, proxy, true);
+                    self.close_listener(event_loop, proxy, true);
                 } else {
-                    self.open(event_loop, proxy);
-                    self.count(event_loop);
+                    self.open_listener(event_loop, proxy);
+                    self.record_pushed(event_loop);
                 }
             }
             Command::Behind { proxy, by } => {
-                self.sides[proxy].behind = by;
-                self.tell_all(event_loop);
+                self.views[proxy].list_delay = by;
+                self.notify_watches(event_loop);
             }
-            Command::Delay { proxy, by } => self.sides[proxy].delay = by,
+            Command::Delay { proxy, by } => self.views[proxy].response_delay = by,
             Command::Move { proxy, to } => {
-                (self.sides[proxy].address, self.sides[proxy].moved) = (to, true);
-                self.shut(event_loop, proxy, false);
-                if !self.sides[proxy].cut {
-                    self.open(event_loop, proxy);
+                (self.views[proxy].address, self.views[proxy].moved) = (to, true);
+                self.close_listener(event_loop, proxy, false);
+                if !self.views[proxy].disconnected {
+                    self.open_listener(event_loop, proxy);
                 }
             }
         }
     }
 }
 
-/// Unix time in milliseconds of a point on the lab's clock.
+/// Converts a time on the lab's clock to Unix time in milliseconds.
 pub fn unix_ms(at: At) -> f64 {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     unix.as_secs_f64() * 1000.0 - (At::now().0 - at.0) as f64 / 1000.0
--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -1,5 +1,5 @@
-//! A stand-in balancer, to set beside the proxy: plain rules, no limits, and, where it is told so, one of the
-//! mistakes that the ledger must catch.
+//! A simple balancer to compare the proxy with: plain balancing rules, no limits, and on request one seeded
+//! defect that the lab's checks must detect.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -16,6 +16,7 @@
 use crate::record::What;
 use crate::scenario::{Balance, Class, Effect, SeededDefect};
 
+/// What the balancer is started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub name: String,
@@ -23,15 +24,15 @@
     pub balance: Balance,
     #[serde(rename = "tries")]
     pub max_attempts: u16,
-    /// Time for each try; without it, all that is left.
+    /// The timeout of each attempt; without it, the time left until the deadline.
     #[serde(rename = "try_time")]
     pub attempt_timeout: Option<Micros>,
     #[serde(rename = "plant")]
     pub seeded_defect: Option<SeededDefect>,
-    /// What a backend that has just started can bear within a window, from all together.
+    /// How many requests within a window a newly started backend can take from all balancers together.
     #[serde(rename = "allowance")]
     pub slow_start_limit: (usize, Micros),
-    /// It was there before, and has a list of old.
+    /// It is a restart, with a list from before.
     #[serde(rename = "again")]
     pub restarted: bool,
     pub entries: Vec<BackendEntry>,
@@ -39,48 +40,52 @@
     pub seed: u64,
 }
 
+/// Commands of the running scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// `first`: part of the first list that it is told.
+    /// `first`: part of the first list that it gets.
     Set { entry: BackendEntry, first: bool },
-    /// Takes nothing new, and ends once all is answered.
+    /// Accepts no new connections, and stops once no request is pending.
     Leave,
 }
 
+/// What a timer is for.
 #[derive(Debug)]
 pub enum TimerEvent {
-    Try(u64, u16),
-    CutOff(u64),
-    Answer(u64, Vec<u8>),
+    AttemptTimeout(u64, u16),
+    Deadline(u64),
+    SendResponse(u64, Vec<u8>),
 }
 
-struct Held {
+/// A request that is received and not yet responded to.
+struct PendingRequest {
     client: ConnId,
     class: Class,
-    /// Since when the caller may have counted.
-    since: At,
+    /// When the request was received, from which the client may count its deadline.
+    received_at: At,
     bytes: Vec<u8>,
-    out: Option<(ConnId, String)>,
-    tries: u16,
+    attempt: Option<(ConnId, String)>,
+    attempts_made: u16,
     number: u64,
 }
 
+/// The simple balancer.
 pub struct Balancer {
     spec: Spec,
     entries: BTreeMap<String, BackendEntry>,
     in_flight: BTreeMap<String, usize>,
-    held: BTreeMap<u64, Held>,
+    pending: BTreeMap<u64, PendingRequest>,
     clients: BTreeMap<ConnId, Option<u64>>,
-    outs: BTreeMap<ConnId, u64>,
-    kept: BTreeMap<String, Vec<ConnId>>,
-    /// The host that started last, to crowd.
+    attempts: BTreeMap<ConnId, u64>,
+    idle_connections: BTreeMap<String, Vec<ConnId>>,
+    /// The backend that started last, which some seeded defects overload.
     newest: Option<String>,
-    /// When it was given something of late.
-    given: VecDeque<At>,
+    /// When recent requests were sent to it.
+    sent_to_newest: VecDeque<At>,
     listener: Option<ListenerId>,
-    leaving: bool,
-    turn: usize,
-    count: u64,
+    draining: bool,
+    round_robin_index: usize,
+    request_count: u64,
     rng: ChaCha8Rng,
 }
 
@@ -90,63 +95,64 @@
     pub fn new(spec: Spec) -> Balancer {
         let entries = spec.entries.iter().map(|entry| (entry.host.clone(), entry.clone())).collect();
         let rng = ChaCha8Rng::seed_from_u64(spec.seed ^ u64::from(spec.listen.port()));
-        let (in_flight, held, clients, outs, kept) = Default::default();
-        let (newest, given, listener, leaving, turn, count) = Default::default();
+        let (in_flight, pending, clients, attempts, idle_connections) = Default::default();
+        let (newest, sent_to_newest, listener, draining, round_robin_index, request_count) =
+            Default::default();
         Balancer {
             spec,
             entries,
             in_flight,
-            held,
+            pending,
             clients,
-            outs,
-            kept,
+            attempts,
+            idle_connections,
             newest,
-            given,
+            sent_to_newest,
             listener,
-            leaving,
-            turn,
-            count,
+            draining,
+            round_robin_index,
+            request_count,
             rng,
         }
     }
 
-    fn pick(&mut self, now: At) -> Option<BackendEntry> {
-        let drained = self.spec.seeded_defect == Some(SeededDefect::UseDrained);
-        let fit: Vec<&BackendEntry> =
-            self.entries.values().filter(|e| e.health == "Ready" || drained).collect();
-        if fit.is_empty() {
+    fn choose_backend(&mut self, now: At) -> Option<BackendEntry> {
+        let uses_draining = self.spec.seeded_defect == Some(SeededDefect::UseDrained);
+        let usable: Vec<&BackendEntry> =
+            self.entries.values().filter(|entry| entry.health == "Ready" || uses_draining).collect();
+        if usable.is_empty() {
             return None;
         }
-        let newest = fit.iter().find(|entry| Some(&entry.host) == self.newest.as_ref());
+        let newest = usable.iter().find(|entry| Some(&entry.host) == self.newest.as_ref());
         match (self.spec.seeded_defect, newest) {
             (Some(SeededDefect::CrowdCold), Some(entry)) => return Some((*entry).clone()),
             (Some(SeededDefect::CrowdTogether), Some(entry)) => {
-                let (most, window) = self.spec.slow_start_limit;
-                while self.given.front().is_some_and(|at| now.since(*at) > window) {
-                    self.given.pop_front();
+                let (limit, window) = self.spec.slow_start_limit;
+                while self.sent_to_newest.front().is_some_and(|at| now.since(*at) > window) {
+                    self.sent_to_newest.pop_front();
                 }
-                if self.given.len() < most {
-                    self.given.push_back(now);
+                if self.sent_to_newest.len() < limit {
+                    self.sent_to_newest.push_back(now);
                     return Some((*entry).clone());
                 }
             }
             _ => {}
         }
-        let place = match self.spec.balance {
+        let index = match self.spec.balance {
             Balance::RoundRobin => {
-                self.turn += 1;
-                self.turn % fit.len()
+                self.round_robin_index += 1;
+                self.round_robin_index % usable.len()
             }
             Balance::Least => {
-                let load = |n: &usize| self.in_flight.get(&fit[*n].host).copied().unwrap_or(0);
-                (0..fit.len()).min_by_key(load).unwrap_or(0)
+                let load = |n: &usize| self.in_flight.get(&usable[*n].host).copied().unwrap_or(0);
+                (0..usable.len()).min_by_key(load).unwrap_or(0)
             }
-            _ => self.rng.random_range(0..fit.len()),
+            _ => self.rng.random_range(0..usable.len()),
         };
-        Some(fit[place].clone())
+        Some(usable[index].clone())
     }
 
-    fn request(&mut self, event_loop: &mut Loop, client: ConnId) {
+    fn read_request(&mut self, event_loop: &mut Loop, client: ConnId) {
         let Ok(found) = http_message::parse_request(event_loop.input(client)) else {
             return event_loop.close(client);
         };
@@ -159,99 +165,105 @@
         let Some(class) = class else {
             return event_loop.write(client, &http_message::encode_response(404, &[], b""));
         };
-        self.count += 1;
-        let number = self.count;
+        self.request_count += 1;
+        let number = self.request_count;
         self.clients.insert(client, Some(number));
-        event_loop.schedule_after(class.deadline.scaled(0.95), TimerEvent::CutOff(number));
-        let (since, out, tries) = (event_loop.now, None, 0);
-        self.held.insert(number, Held { client, class, since, bytes, out, tries, number });
-        self.send(event_loop, number);
+        event_loop.schedule_after(class.deadline.scaled(0.95), TimerEvent::Deadline(number));
+        let (received_at, attempt, attempts_made) = (event_loop.now, None, 0);
+        self.pending.insert(
+            number,
+            PendingRequest { client, class, received_at, bytes, attempt, attempts_made, number },
+        );
+        self.send_attempt(event_loop, number);
     }
 
-    fn send(&mut self, event_loop: &mut Loop, number: u64) {
-        let Some(entry) = self.pick(event_loop.now) else { return self.answer(event_loop, number, 503) };
-        let kept = self.kept.entry(entry.host.clone()).or_default();
-        let kept = std::iter::from_fn(|| kept.pop()).find(|conn| event_loop.is_open(*conn));
-        let Ok(conn) = kept.map_or_else(|| event_loop.connect(entry.address), Ok) else {
-            return self.answer(event_loop, number, 503);
+    fn send_attempt(&mut self, event_loop: &mut Loop, number: u64) {
+        let Some(entry) = self.choose_backend(event_loop.now) else {
+            return self.respond(event_loop, number, 503);
         };
-        let Some(held) = self.held.get_mut(&number) else { return };
-        held.tries += 1;
-        held.out = Some((conn, entry.host.clone()));
-        event_loop.write(conn, &held.bytes);
-        if let Some(time) = self.spec.attempt_timeout {
-            event_loop.schedule_after(time, TimerEvent::Try(number, held.tries));
+        let pooled = self.idle_connections.entry(entry.host.clone()).or_default();
+        let pooled = std::iter::from_fn(|| pooled.pop()).find(|conn| event_loop.is_open(*conn));
+        let Ok(conn) = pooled.map_or_else(|| event_loop.connect(entry.address), Ok) else {
+            return self.respond(event_loop, number, 503);
+        };
+        let Some(pending) = self.pending.get_mut(&number) else { return };
+        pending.attempts_made += 1;
+        pending.attempt = Some((conn, entry.host.clone()));
+        event_loop.write(conn, &pending.bytes);
+        if let Some(timeout) = self.spec.attempt_timeout {
+            event_loop.schedule_after(timeout, TimerEvent::AttemptTimeout(number, pending.attempts_made));
         }
         *self.in_flight.entry(entry.host).or_default() += 1;
-        self.outs.insert(conn, number);
+        self.attempts.insert(conn, number);
     }
 
-    /// The forward that is out has ended: answered, or `None` for a break.
-    fn ended(
+    /// The open attempt has ended: with a response, or `None` if the connection failed.
+    fn end_attempt(
         &mut self,
         event_loop: &mut Loop,
         conn: ConnId,
-        answer: Option<(http_message::Message, Vec<u8>)>,
+        response: Option<(http_message::Message, Vec<u8>)>,
         refused: bool,
     ) {
-        let Some(number) = self.outs.remove(&conn) else { return };
-        let Some(held) = self.held.get_mut(&number) else { return };
-        if let Some((_, host)) = held.out.take() {
+        let Some(number) = self.attempts.remove(&conn) else { return };
+        let Some(pending) = self.pending.get_mut(&number) else { return };
+        if let Some((_, host)) = pending.attempt.take() {
             self.in_flight.entry(host).and_modify(|n| *n = n.saturating_sub(1));
         }
-        let not_run = refused || answer.as_ref().is_some_and(|(a, _)| a.header("Not-Started").is_some());
-        if let Some((found, bytes)) = answer {
+        let not_run =
+            refused || response.as_ref().is_some_and(|(message, _)| message.header("Not-Started").is_some());
+        if let Some((found, bytes)) = response {
             if found.status != 503 {
-                return self.pass_on(event_loop, number, bytes);
+                return self.forward_response(event_loop, number, bytes);
             }
         }
-        let Some(held) = self.held.get(&number) else { return };
-        let careless = self.spec.seeded_defect == Some(SeededDefect::Resend);
-        let may = not_run || careless || held.class.effect == Effect::Safe;
-        if may && held.tries < self.spec.max_attempts {
-            return self.send(event_loop, number);
+        let Some(pending) = self.pending.get(&number) else { return };
+        let resends_all = self.spec.seeded_defect == Some(SeededDefect::Resend);
+        let may_retry = not_run || resends_all || pending.class.effect == Effect::Safe;
+        if may_retry && pending.attempts_made < self.spec.max_attempts {
+            return self.send_attempt(event_loop, number);
         }
-        let harmless = not_run || self.spec.seeded_defect == Some(SeededDefect::FalseRefusal);
-        self.answer(event_loop, number, if harmless { 503 } else { 502 });
+        let claims_not_run = not_run || self.spec.seeded_defect == Some(SeededDefect::FalseRefusal);
+        self.respond(event_loop, number, if claims_not_run { 503 } else { 502 });
     }
 
-    fn pass_on(&mut self, event_loop: &mut Loop, number: u64, bytes: Vec<u8>) {
-        let Some(held) = self.held.get(&number) else { return };
-        let nth = held.number.is_multiple_of(20);
+    fn forward_response(&mut self, event_loop: &mut Loop, number: u64, bytes: Vec<u8>) {
+        let Some(pending) = self.pending.get(&number) else { return };
+        let affected = pending.number.is_multiple_of(20);
         match self.spec.seeded_defect {
-            Some(SeededDefect::DropAnswer) if nth => return,
-            Some(SeededDefect::AnswerLate) if nth => {
-                let late = held.since + held.class.deadline + Micros::from_millis(120);
-                return event_loop.schedule_at(late, TimerEvent::Answer(number, bytes));
+            Some(SeededDefect::DropAnswer) if affected => return,
+            Some(SeededDefect::AnswerLate) if affected => {
+                let after_deadline = pending.received_at + pending.class.deadline + Micros::from_millis(120);
+                return event_loop.schedule_at(after_deadline, TimerEvent::SendResponse(number, bytes));
             }
-            Some(SeededDefect::AnswerTwice) if nth => event_loop.write(held.client, &bytes),
+            Some(SeededDefect::AnswerTwice) if affected => event_loop.write(pending.client, &bytes),
             _ => {}
         }
         self.finish(event_loop, number, &bytes);
     }
 
-    fn answer(&mut self, event_loop: &mut Loop, number: u64, status: u16) {
+    fn respond(&mut self, event_loop: &mut Loop, number: u64, status: u16) {
         self.finish(event_loop, number, &http_message::encode_response(status, &[], b""));
     }
 
     fn finish(&mut self, event_loop: &mut Loop, number: u64, bytes: &[u8]) {
-        let Some(held) = self.held.remove(&number) else { return };
-        self.call_off(event_loop, held.out);
-        event_loop.write(held.client, bytes);
-        self.clients.insert(held.client, None);
-        self.request(event_loop, held.client);
+        let Some(pending) = self.pending.remove(&number) else { return };
+        self.cancel_attempt(event_loop, pending.attempt);
+        event_loop.write(pending.client, bytes);
+        self.clients.insert(pending.client, None);
+        self.read_request(event_loop, pending.client);
         self.end_if_done(event_loop);
     }
 
     fn end_if_done(&mut self, event_loop: &mut Loop) {
-        if self.leaving && self.held.is_empty() {
+        if self.draining && self.pending.is_empty() {
             event_loop.request_stop();
         }
     }
 
-    fn call_off(&mut self, event_loop: &mut Loop, out: Option<(ConnId, String)>) {
-        if let Some((conn, host)) = out {
-            self.outs.remove(&conn);
+    fn cancel_attempt(&mut self, event_loop: &mut Loop, attempt: Option<(ConnId, String)>) {
+        if let Some((conn, host)) = attempt {
+            self.attempts.remove(&conn);
             event_loop.close(conn);
             self.in_flight.entry(host).and_modify(|n| *n = n.saturating_sub(1));
         }
@@ -273,24 +285,27 @@
 
     fn on_data(&mut self, event_loop: &mut Loop, conn: ConnId) {
         match self.clients.get(&conn) {
-            Some(None) => return self.request(event_loop, conn),
+            Some(None) => return self.read_request(event_loop, conn),
             Some(Some(_)) => return,
             None => {}
         }
         match http_message::parse_response(event_loop.input(conn)) {
             Ok(None) => {}
-            Ok(Some(answer)) => {
-                let bytes = event_loop.consume(conn, answer.length);
-                let host = self.outs.get(&conn).and_then(|n| self.held.get(n)?.out.clone());
+            Ok(Some(response)) => {
+                let bytes = event_loop.consume(conn, response.length);
+                let host =
+                    self.attempts.get(&conn).and_then(|number| self.pending.get(number)?.attempt.clone());
                 match host {
-                    Some((_, host)) if !answer.closes() => self.kept.entry(host).or_default().push(conn),
+                    Some((_, host)) if !response.closes() => {
+                        self.idle_connections.entry(host).or_default().push(conn)
+                    }
                     _ => event_loop.close(conn),
                 }
-                self.ended(event_loop, conn, Some((answer, bytes)), false);
+                self.end_attempt(event_loop, conn, Some((response, bytes)), false);
             }
             Err(_) => {
                 event_loop.close(conn);
-                self.ended(event_loop, conn, None, false);
+                self.end_attempt(event_loop, conn, None, false);
             }
         }
     }
@@ -299,30 +314,34 @@
         event_loop.close(conn);
         match self.clients.remove(&conn) {
             Some(Some(number)) => {
-                let out = self.held.remove(&number).and_then(|held| held.out);
-                self.call_off(event_loop, out);
+                let attempt = self.pending.remove(&number).and_then(|pending| pending.attempt);
+                self.cancel_attempt(event_loop, attempt);
             }
             Some(None) => {}
-            None => self.ended(event_loop, conn, None, how == ConnectionEnd::Refused),
+            None => self.end_attempt(event_loop, conn, None, how == ConnectionEnd::Refused),
         }
     }
 
     fn on_timer(&mut self, event_loop: &mut Loop, event: TimerEvent) {
         match event {
-            TimerEvent::Try(number, tries) => {
-                let Some(held) = self.held.get(&number).filter(|held| held.tries == tries) else { return };
-                if let Some((conn, _)) = held.out.clone() {
+            TimerEvent::AttemptTimeout(number, attempts_made) => {
+                let Some(pending) =
+                    self.pending.get(&number).filter(|pending| pending.attempts_made == attempts_made)
+                else {
+                    return;
+                };
+                if let Some((conn, _)) = pending.attempt.clone() {
                     event_loop.close(conn);
-                    self.ended(event_loop, conn, None, false);
+                    self.end_attempt(event_loop, conn, None, false);
                 }
             }
-            // What has an answer of a deliberate fault to come is left alone.
-            TimerEvent::CutOff(number) => {
-                if self.held.get(&number).is_some_and(|held| held.out.is_some()) {
-                    self.answer(event_loop, number, 504);
+            // A request whose response a seeded defect holds back has no open attempt, and is left alone.
+            TimerEvent::Deadline(number) => {
+                if self.pending.get(&number).is_some_and(|pending| pending.attempt.is_some()) {
+                    self.respond(event_loop, number, 504);
                 }
             }
-            TimerEvent::Answer(number, bytes) => self.finish(event_loop, number, &bytes),
+            TimerEvent::SendResponse(number, bytes) => self.finish(event_loop, number, &bytes),
         }
     }
 
@@ -330,7 +349,7 @@
         let (entry, first) = match command {
             Command::Set { entry, first } => (entry, first),
             Command::Leave => {
-                self.leaving = true;
+                self.draining = true;
                 if let Some(listener) = self.listener.take() {
                     event_loop.close_listener(listener);
                 }
@@ -339,9 +358,9 @@
         };
         let (proxy, host, health) = (self.spec.name.clone(), entry.host.clone(), entry.health.clone());
         event_loop.record(What::Told { proxy, host, health, seq: 0 });
-        let forgets =
+        let ignores_drain =
             self.spec.seeded_defect == Some(SeededDefect::ForgetDrain) && self.spec.restarted && first;
-        if forgets && entry.health == "Terminating" {
+        if ignores_drain && entry.health == "Terminating" {
             return;
         }
         let before = self.entries.get(&entry.host).map(|known| known.started_ms);
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,5 +1,6 @@
-//! The callers: they send what the plan says when it says so, whatever became of what they sent before, and
-//! behave as real ones do: retries, kept connections, leaving early, slowness, nonsense.
+//! The clients of a scenario. They send requests at the planned times, whatever became of earlier ones (open
+//! loop), or one after the other (closed loop), and behave like real clients: they retry, keep connections
+//! alive, give up early, read and write slowly, and send malformed requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -16,13 +17,16 @@
 use crate::record::What;
 use crate::scenario::{Class, ClientBehavior, Effect};
 
-const DOWN: Micros = Micros::from_millis(300); // how long a target that refused is passed over
-const WAIT_ON: Micros = Micros::from_millis(250); // past the cut-off, to see what comes too late
-const DIAL: Micros = Micros::from_millis(1000);
-/// Between the openings of two connections that will stand idle.
+/// How long a target that refused a connection is skipped.
+const TARGET_RETRY_DELAY: Micros = Micros::from_millis(300);
+/// How long past its deadline an attempt waits, to record late responses.
+const LATE_RESPONSE_WAIT: Micros = Micros::from_millis(250);
+const CONNECT_TIMEOUT: Micros = Micros::from_millis(1000);
+/// The time between two connects of idle connections.
 pub const IDLE_CONNECT_INTERVAL: Micros = Micros(150);
-const SETTLE: Micros = Micros::from_millis(5000); // at the end, for what is still out
+const MAX_SETTLE_TIME: Micros = Micros::from_millis(5000); // after the end of the load, for open requests
 
+/// What the clients are started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub name: String,
@@ -30,14 +34,14 @@
     #[serde(rename = "callers")]
     pub behavior: ClientBehavior,
     pub intents: Vec<Intent>,
-    /// So many callers in a closed loop; 0 for an open one.
+    /// The number of clients in a closed loop; 0 for an open loop.
     #[serde(rename = "closed")]
     pub closed_loop_clients: usize,
-    /// Whose turn is drawn at random for each try instead of by caller.
+    /// Draws the target of each attempt at random instead of assigning one to each client.
     #[serde(rename = "scatter")]
     pub random_target: bool,
     pub targets: Vec<(String, SocketAddr)>,
-    /// Those of them that are not there yet.
+    /// Names of targets that do not exist yet.
     #[serde(rename = "absent")]
     pub absent_targets: Vec<String>,
     pub start: At,
@@ -46,27 +50,30 @@
     pub seed: u64,
 }
 
+/// Commands of the running scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// A target that may or may not be used.
+    /// Sets whether a target may be used, and its address.
     Target { name: String, up: bool, address: Option<SocketAddr> },
-    /// All callers lose their connections and come back at once.
+    /// Closes all idle connections and opens them again at once.
     Herd,
 }
 
+/// What a timer is for.
 #[derive(Debug)]
 pub enum TimerEvent {
-    Next,
-    /// Opens the next connections that will stand idle.
-    Idle,
+    NextIntent,
+    /// Opens the next batch of idle connections.
+    OpenIdle,
     Retry(usize, u16),
-    /// A try's time is up: to come up, to leave early, or for good.
-    DialLate(ConnId),
-    Leave(ConnId, u64),
-    Piece(ConnId, Vec<u8>),
-    ReadOn(ConnId),
+    /// The connection of an attempt is not established in time.
+    ConnectTimeout(ConnId),
+    /// An attempt is given up: early by an impatient client, or some time after its deadline.
+    GiveUp(ConnId, u64),
+    SendRest(ConnId, Vec<u8>),
+    ResumeReading(ConnId),
     Close(ConnId),
-    End,
+    EndOfRun,
 }
 
 struct Target {
@@ -74,40 +81,43 @@
     address: SocketAddr,
     up: bool,
     down_until: At,
-    kept: Vec<ConnId>,
+    pool: Vec<ConnId>,
 }
 
-/// One try of an intent.
-struct Try {
-    number: u64,
+/// One attempt to have an intent served.
+struct Attempt {
+    serial: u64,
     intent: usize,
-    try_no: u16,
+    retry_number: u16,
     id: String,
     target: usize,
-    kept: bool,
-    up: bool,
+    reused: bool,
+    connected: bool,
     sent: Option<At>,
-    cut_off: At,
-    /// It went out a second time, as the protocol has it for a connection that was closed under it.
-    again: bool,
+    deadline: At,
+    /// Sent again on a new connection because a reused one was closed before any response, as HTTP/1.1
+    /// allows.
+    resent: bool,
 }
 
+/// The component that plays all clients.
 pub struct Clients {
     spec: Spec,
     targets: Vec<Target>,
-    tries: BTreeMap<ConnId, Try>,
-    /// Kept connections with nothing out, and connections that are only watched to their end.
+    attempts: BTreeMap<ConnId, Attempt>,
+    /// Pooled connections by target, and connections that stay open only to record unexpected bytes.
     idle: BTreeMap<ConnId, usize>,
-    /// Those that were opened to stand idle, and how many were asked for and refused.
-    silent: BTreeSet<ConnId>,
-    asked: usize,
-    refused: usize,
-    next: usize,
-    open: usize,
-    count: u64,
+    /// Connections that send one request and then stay idle, and how many were requested and refused or
+    /// closed.
+    idle_only: BTreeSet<ConnId>,
+    idle_requested: usize,
+    idle_refused: usize,
+    next_intent: usize,
+    open_intents: usize,
+    attempt_count: u64,
     first_due: BTreeMap<usize, At>,
     rng: ChaCha8Rng,
-    ended: bool,
+    run_ended: bool,
 }
 
 type Loop = EventLoop<TimerEvent>;
@@ -119,26 +129,26 @@
             address: *address,
             up: !spec.absent_targets.contains(name),
             down_until: At::default(),
-            kept: Vec::new(),
+            pool: Vec::new(),
         };
         let targets = spec.targets.iter().map(target).collect();
         let rng = ChaCha8Rng::seed_from_u64(spec.seed ^ 0xca11e5);
-        let (tries, idle, silent, first_due) = Default::default();
-        let (asked, refused) = (0, 0);
+        let (attempts, idle, idle_only, first_due) = Default::default();
+        let (idle_requested, idle_refused) = (0, 0);
         Clients {
             spec,
             targets,
-            tries,
+            attempts,
             idle,
-            silent,
-            asked,
-            refused,
-            next: 0,
-            open: 0,
-            count: 0,
+            idle_only,
+            idle_requested,
+            idle_refused,
+            next_intent: 0,
+            open_intents: 0,
+            attempt_count: 0,
             first_due,
             rng,
-            ended: false,
+            run_ended: false,
         }
     }
 
@@ -146,79 +156,90 @@
         &self.spec.classes[self.spec.intents[intent].class]
     }
 
-    fn choose(&mut self, intent: usize, now: At) -> Option<usize> {
-        let fit = |target: &Target| target.up && target.down_until <= now;
-        let all: Vec<usize> = (0..self.targets.len()).filter(|n| fit(&self.targets[*n])).collect();
-        if all.is_empty() {
+    fn choose_target(&mut self, intent: usize, now: At) -> Option<usize> {
+        let is_usable = |target: &Target| target.up && target.down_until <= now;
+        let usable: Vec<usize> = (0..self.targets.len()).filter(|n| is_usable(&self.targets[*n])).collect();
+        if usable.is_empty() {
             return None;
         }
         if self.spec.random_target {
-            return Some(all[self.rng.random_range(0..all.len())]);
+            return Some(usable[self.rng.random_range(0..usable.len())]);
         }
-        // ClientBehavior are spread over those that belong to the deployment, whether they answer or not.
+        // Clients are spread over all targets that belong to the deployment, whether they respond or not.
         let present: Vec<usize> = (0..self.targets.len()).filter(|n| self.targets[*n].up).collect();
-        let caller = self.spec.intents[intent].client;
-        let own = present[caller % present.len()];
-        Some(if all.contains(&own) { own } else { all[caller % all.len()] })
+        let client = self.spec.intents[intent].client;
+        let own = present[client % present.len()];
+        Some(if usable.contains(&own) { own } else { usable[client % usable.len()] })
     }
 
-    fn begin(&mut self, event_loop: &mut Loop, intent: usize, due: At) {
+    fn start_intent(&mut self, event_loop: &mut Loop, intent: usize, due: At) {
         self.first_due.insert(intent, due);
-        self.open += 1;
+        self.open_intents += 1;
         if self.spec.intents[intent].bad {
-            return self.nonsense(event_loop, intent);
+            return self.send_malformed(event_loop, intent);
         }
-        self.attempt(event_loop, intent, 0);
+        self.start_attempt(event_loop, intent, 0);
     }
 
-    fn id(&self, intent: usize, try_no: u16) -> String {
-        format!("{:x}-{intent:x}-{try_no}", self.spec.seed)
+    fn request_id(&self, intent: usize, retry_number: u16) -> String {
+        format!("{:x}-{intent:x}-{retry_number}", self.spec.seed)
     }
 
-    fn attempt(&mut self, event_loop: &mut Loop, intent: usize, try_no: u16) {
-        let Some(target) = self.choose(intent, event_loop.now) else {
-            return self.not_taken(event_loop, intent, try_no, "no target is up");
+    fn start_attempt(&mut self, event_loop: &mut Loop, intent: usize, retry_number: u16) {
+        let Some(target) = self.choose_target(intent, event_loop.now) else {
+            return self.fail_unsent(event_loop, intent, retry_number, "no target is up");
         };
         let keep = self.spec.behavior.keep;
-        let kept =
-            std::iter::from_fn(|| self.targets[target].kept.pop()).find(|conn| event_loop.is_open(*conn));
-        let kept = kept.filter(|_| keep);
-        if let Some(conn) = kept {
+        let pooled =
+            std::iter::from_fn(|| self.targets[target].pool.pop()).find(|conn| event_loop.is_open(*conn));
+        let pooled = pooled.filter(|_| keep);
+        if let Some(conn) = pooled {
             self.idle.remove(&conn);
         }
-        let conn = match kept.map_or_else(|| event_loop.connect(self.targets[target].address), Ok) {
+        let conn = match pooled.map_or_else(|| event_loop.connect(self.targets[target].address), Ok) {
             Ok(conn) => conn,
-            Err(e) => return self.not_taken(event_loop, intent, try_no, &e.to_string()),
+            Err(e) => return self.fail_unsent(event_loop, intent, retry_number, &e.to_string()),
+        };
+        self.attempt_count += 1;
+        let id = self.request_id(intent, retry_number);
+        let (serial, connected) = (self.attempt_count, pooled.is_some());
+        let (sent, deadline, resent) = (None, event_loop.now, false);
+        let attempt = Attempt {
+            serial,
+            intent,
+            retry_number,
+            id,
+            target,
+            reused: connected,
+            connected,
+            sent,
+            deadline,
+            resent,
         };
-        self.count += 1;
-        let id = self.id(intent, try_no);
-        let (number, up) = (self.count, kept.is_some());
-        let (sent, cut_off, again) = (None, event_loop.now, false);
-        let attempt = Try { number, intent, try_no, id, target, kept: up, up, sent, cut_off, again };
-        self.tries.insert(conn, attempt);
-        if up {
-            self.send(event_loop, conn);
+        self.attempts.insert(conn, attempt);
+        if connected {
+            self.send_request(event_loop, conn);
         } else {
-            event_loop.schedule_after(DIAL, TimerEvent::DialLate(conn));
+            event_loop.schedule_after(CONNECT_TIMEOUT, TimerEvent::ConnectTimeout(conn));
         }
     }
 
-    fn not_taken(&mut self, event_loop: &mut Loop, intent: usize, try_no: u16, why: &str) {
-        event_loop.record(What::NotTaken { id: self.id(intent, try_no), why: why.to_string() });
-        self.retry_or_over(event_loop, intent, try_no, true, None);
+    fn fail_unsent(&mut self, event_loop: &mut Loop, intent: usize, retry_number: u16, why: &str) {
+        event_loop.record(What::NotTaken { id: self.request_id(intent, retry_number), why: why.to_string() });
+        self.retry_or_finish(event_loop, intent, retry_number, true, None);
     }
 
-    fn send(&mut self, event_loop: &mut Loop, conn: ConnId) {
-        let Some(attempt) = self.tries.get(&conn) else { return };
+    fn send_request(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        let Some(attempt) = self.attempts.get(&conn) else { return };
         let (intent, id) = (attempt.intent, attempt.id.clone());
         let class = self.class(intent).clone();
         let mut headers = vec![("Request-Id", id), ("Request-Class", class.name.clone())];
         headers.push(("Request-Timeout", format!("{:.3}", class.deadline.secs())));
-        if self.spec.behavior.marks && attempt.try_no > 0 {
+        if self.spec.behavior.marks && attempt.retry_number > 0 {
             headers.push(("Client-Retry", "1".to_string()));
         }
-        let once = class.effect != Effect::Safe;
-        let (method, body) = if once { ("POST", vec![b'b'; class.body]) } else { ("GET", Vec::new()) };
+        let needs_post = class.effect != Effect::Safe;
+        let (method, body) = if needs_post { ("POST", vec![b'b'; class.body]) } else { ("GET", Vec::new()) };
         let bytes = http_message::encode_request(
             method,
             &format!("/{}", class.name),
@@ -227,185 +248,201 @@
             &body,
         );
         if self.spec.intents[intent].slow_send {
-            return self.piece(event_loop, conn, bytes);
+            return self.send_piece(event_loop, conn, bytes);
         }
         event_loop.write(conn, &bytes);
-        self.sent(event_loop, conn);
+        self.record_sent(event_loop, conn);
     }
 
-    /// Sends a few bytes now and the rest later.
-    fn piece(&mut self, event_loop: &mut Loop, conn: ConnId, bytes: Vec<u8>) {
+    /// Sends a few bytes now and the rest in later pieces.
+    fn send_piece(&mut self, event_loop: &mut Loop, conn: ConnId, bytes: Vec<u8>) {
         let (now, rest) = bytes.split_at(bytes.len().min(40));
         event_loop.write(conn, now);
         if rest.is_empty() {
-            self.sent(event_loop, conn);
+            self.record_sent(event_loop, conn);
         } else {
-            event_loop.schedule_after(Micros::from_millis(60), TimerEvent::Piece(conn, rest.to_vec()));
+            event_loop.schedule_after(Micros::from_millis(60), TimerEvent::SendRest(conn, rest.to_vec()));
         }
     }
 
-    /// Notes the moment at which the last byte was written.
-    fn sent(&mut self, event_loop: &mut Loop, conn: ConnId) {
+    /// Records when the last byte was written, and sets the timers that count from then.
+    fn record_sent(&mut self, event_loop: &mut Loop, conn: ConnId) {
         if event_loop.unwritten_bytes(conn) > 0 {
             return;
         }
-        let Some(attempt) = self.tries.get(&conn).filter(|attempt| attempt.sent.is_none()) else { return };
-        let (intent, number) = (attempt.intent, attempt.number);
+        let Some(attempt) = self.attempts.get(&conn).filter(|attempt| attempt.sent.is_none()) else { return };
+        let (intent, serial) = (attempt.intent, attempt.serial);
         let class = self.class(intent).clone();
-        let (now, planned) = (At::now(), &self.spec.intents[intent]);
-        let (impatient, slow_read) = (planned.impatient, planned.slow_read);
+        let (now, plan) = (At::now(), &self.spec.intents[intent]);
+        let (impatient, slow_read) = (plan.impatient, plan.slow_read);
         let due = self.first_due.get(&intent).copied().unwrap_or(now);
-        let Some(attempt) = self.tries.get_mut(&conn) else { return };
-        (attempt.sent, attempt.cut_off) = (Some(now), now + class.deadline);
+        let Some(attempt) = self.attempts.get_mut(&conn) else { return };
+        (attempt.sent, attempt.deadline) = (Some(now), now + class.deadline);
         let (id, to) = (attempt.id.clone(), self.targets[attempt.target].name.clone());
-        let (cut_off, try_no) = (attempt.cut_off, attempt.try_no);
+        let (deadline, retry_number) = (attempt.deadline, attempt.retry_number);
         event_loop.record(What::Sent {
             id,
             intent: intent as u64,
             class: class.name,
             to,
             due,
-            cut_off,
-            try_no,
+            cut_off: deadline,
+            try_no: retry_number,
         });
         if impatient {
             event_loop.schedule_at(
                 now + class.deadline.scaled(self.spec.behavior.leave_at),
-                TimerEvent::Leave(conn, number),
+                TimerEvent::GiveUp(conn, serial),
             );
         }
         if slow_read {
             event_loop.set_paused(conn, true);
-            event_loop.schedule_at(now + class.deadline.scaled(0.3), TimerEvent::ReadOn(conn));
+            event_loop.schedule_at(now + class.deadline.scaled(0.3), TimerEvent::ResumeReading(conn));
         }
-        event_loop.schedule_at(cut_off + WAIT_ON, TimerEvent::Leave(conn, number));
+        event_loop.schedule_at(deadline + LATE_RESPONSE_WAIT, TimerEvent::GiveUp(conn, serial));
     }
 
-    fn answered(&mut self, event_loop: &mut Loop, conn: ConnId, answer: http_message::Message) {
-        let Some(attempt) = self.tries.remove(&conn) else { return };
-        event_loop.consume(conn, answer.length);
-        let retry_after_ms = answer.number("Retry-After").map(|seconds| seconds * 1000.0);
-        event_loop.record(What::Answered { id: attempt.id.clone(), status: answer.status, retry_after_ms });
-        // More than was asked for.
-        let more = event_loop.input(conn).len();
-        if more > 0 {
-            event_loop.record(What::Unasked { id: attempt.id.clone(), bytes: more });
+    fn finish_attempt(&mut self, event_loop: &mut Loop, conn: ConnId, response: http_message::Message) {
+        let Some(attempt) = self.attempts.remove(&conn) else { return };
+        event_loop.consume(conn, response.length);
+        let retry_after_ms = response.number("Retry-After").map(|seconds| seconds * 1000.0);
+        event_loop.record(What::Answered { id: attempt.id.clone(), status: response.status, retry_after_ms });
+        // Bytes beyond the response.
+        let extra_bytes = event_loop.input(conn).len();
+        if extra_bytes > 0 {
+            event_loop.record(What::Unasked { id: attempt.id.clone(), bytes: extra_bytes });
             event_loop.close(conn);
-        } else if answer.closes() || !self.spec.behavior.keep {
+        } else if response.closes() || !self.spec.behavior.keep {
             self.idle.insert(conn, usize::MAX);
             event_loop.schedule_after(Micros::from_millis(200), TimerEvent::Close(conn));
         } else {
             self.idle.insert(conn, attempt.target);
-            self.targets[attempt.target].kept.push(conn);
+            self.targets[attempt.target].pool.push(conn);
         }
-        if answer.status == 200 {
-            return self.over(event_loop, attempt.intent, attempt.try_no, true);
+        if response.status == 200 {
+            return self.finish(event_loop, attempt.intent, attempt.retry_number, true);
         }
-        let refused = matches!(answer.status, 429 | 503);
-        self.retry_or_over(event_loop, attempt.intent, attempt.try_no, refused, retry_after_ms);
+        let refused = matches!(response.status, 429 | 503);
+        self.retry_or_finish(event_loop, attempt.intent, attempt.retry_number, refused, retry_after_ms);
     }
 
-    /// `safe`: it is known that nothing was done.
-    fn retry_or_over(
+    /// `safe`: the request is known not to have been executed.
+    fn retry_or_finish(
         &mut self,
         event_loop: &mut Loop,
         intent: usize,
-        try_no: u16,
+        retry_number: u16,
         safe: bool,
-        after: Option<f64>,
+        retry_after_ms: Option<f64>,
     ) {
-        let may = safe || self.class(intent).effect == Effect::Safe;
-        if !may
-            || try_no >= self.spec.behavior.retries
+        let may_retry = safe || self.class(intent).effect == Effect::Safe;
+        if !may_retry
+            || retry_number >= self.spec.behavior.retries
             || event_loop.now > self.spec.start + self.spec.duration
         {
-            return self.over(event_loop, intent, try_no, false);
+            return self.finish(event_loop, intent, retry_number, false);
         }
-        let honours = self.rng.random::<f64>() < self.spec.behavior.honour;
-        let own = self.spec.behavior.backoff.scaled(f64::from(1u32 << try_no.min(8)));
-        let own = own.scaled(0.5 + self.rng.random::<f64>());
-        let wait = after.filter(|_| honours).map_or(own, Micros::from_ms);
-        event_loop.schedule_after(wait, TimerEvent::Retry(intent, try_no + 1));
+        let obeys_retry_after = self.rng.random::<f64>() < self.spec.behavior.honour;
+        let backoff = self.spec.behavior.backoff.scaled(f64::from(1u32 << retry_number.min(8)));
+        let backoff = backoff.scaled(0.5 + self.rng.random::<f64>());
+        let wait = retry_after_ms.filter(|_| obeys_retry_after).map_or(backoff, Micros::from_ms);
+        event_loop.schedule_after(wait, TimerEvent::Retry(intent, retry_number + 1));
     }
 
-    fn over(&mut self, event_loop: &mut Loop, intent: usize, try_no: u16, honoured: bool) {
+    fn finish(&mut self, event_loop: &mut Loop, intent: usize, retry_number: u16, served: bool) {
         let due = self.first_due.remove(&intent).unwrap_or(event_loop.now);
         let class = self.class(intent).name.clone();
-        event_loop.record(What::Over { intent: intent as u64, class, due, honoured, tries: try_no + 1 });
-        self.open -= 1;
+        event_loop.record(What::Over {
+            intent: intent as u64,
+            class,
+            due,
+            honoured: served,
+            tries: retry_number + 1,
+        });
+        self.open_intents -= 1;
         if self.spec.closed_loop_clients > 0 {
-            self.next_closed(event_loop);
+            self.start_next_closed_loop(event_loop);
         }
         self.end_if_done(event_loop);
     }
 
     fn end_if_done(&mut self, event_loop: &mut Loop) {
-        if self.ended && self.open == 0 {
+        if self.run_ended && self.open_intents == 0 {
             event_loop.request_stop();
         }
     }
 
-    fn next_closed(&mut self, event_loop: &mut Loop) {
-        if !self.ended
-            && self.next < self.spec.intents.len()
+    fn start_next_closed_loop(&mut self, event_loop: &mut Loop) {
+        if !self.run_ended
+            && self.next_intent < self.spec.intents.len()
             && event_loop.now < self.spec.start + self.spec.duration
         {
-            self.next += 1;
-            self.begin(event_loop, self.next - 1, event_loop.now);
+            self.next_intent += 1;
+            self.start_intent(event_loop, self.next_intent - 1, event_loop.now);
         }
     }
 
-    /// The connection of a try ended with no whole answer.
-    fn lost(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd, any: bool) {
-        let Some(mut attempt) = self.tries.remove(&conn) else { return };
-        let (intent, try_no) = (attempt.intent, attempt.try_no);
+    /// The connection of an attempt ended without a complete response.
+    fn fail_on_close(
+        &mut self,
+        event_loop: &mut Loop,
+        conn: ConnId,
+        how: ConnectionEnd,
+        partial_response: bool,
+    ) {
+        let Some(mut attempt) = self.attempts.remove(&conn) else { return };
+        let (intent, retry_number) = (attempt.intent, attempt.retry_number);
         if how == ConnectionEnd::Refused || attempt.sent.is_none() {
-            if !attempt.kept {
-                self.targets[attempt.target].down_until = event_loop.now + DOWN;
+            if !attempt.reused {
+                self.targets[attempt.target].down_until = event_loop.now + TARGET_RETRY_DELAY;
             }
             event_loop.record(What::NotTaken { id: attempt.id, why: format!("{how:?}") });
-            return self.retry_or_over(event_loop, intent, try_no, true, None);
+            return self.retry_or_finish(event_loop, intent, retry_number, true, None);
         }
-        let once = self.class(intent).effect == Effect::AtMostOnce;
-        if attempt.kept && !any && !attempt.again && !once {
+        let at_most_once = self.class(intent).effect == Effect::AtMostOnce;
+        if attempt.reused && !partial_response && !attempt.resent && !at_most_once {
             if let Ok(conn) = event_loop.connect(self.targets[attempt.target].address) {
                 event_loop.record(What::SentAgain { id: attempt.id.clone() });
-                (attempt.kept, attempt.again, attempt.up, attempt.sent) = (false, true, false, None);
-                self.tries.insert(conn, attempt);
-                return event_loop.schedule_after(DIAL, TimerEvent::DialLate(conn));
+                (attempt.reused, attempt.resent, attempt.connected, attempt.sent) =
+                    (false, true, false, None);
+                self.attempts.insert(conn, attempt);
+                return event_loop.schedule_after(CONNECT_TIMEOUT, TimerEvent::ConnectTimeout(conn));
             }
         }
-        let on = if attempt.kept { "kept" } else { "new" };
-        event_loop.record(What::Lost { id: attempt.id, how: format!("{how:?} on a {on} connection") });
-        self.retry_or_over(event_loop, intent, try_no, false, None);
+        let kind = if attempt.reused { "kept" } else { "new" };
+        event_loop.record(What::Lost { id: attempt.id, how: format!("{how:?} on a {kind} connection") });
+        self.retry_or_finish(event_loop, intent, retry_number, false, None);
     }
 
-    /// Opens some more connections, each of which asks once.
+    /// Opens the next batch of idle connections, each of which sends one request first.
     fn open_idle(&mut self, event_loop: &mut Loop) {
-        const AT_ONCE: usize = 40;
-        let most = self.spec.behavior.idle.min(self.asked + AT_ONCE);
+        const CONNECTIONS_PER_BATCH: usize = 40;
+        let batch_end = self.spec.behavior.idle.min(self.idle_requested + CONNECTIONS_PER_BATCH);
         let class = self.spec.classes.iter().find(|class| class.effect == Effect::Safe).cloned();
         let Some(class) = class else { return };
-        while self.asked < most {
-            let target = self.asked % self.targets.len(); // those that come later have no idle ones
-            let headers = [("Request-Id", format!("{:x}-idle-{}", self.spec.seed, self.asked))];
-            self.asked += 1;
+        while self.idle_requested < batch_end {
+            let target = self.idle_requested % self.targets.len(); // targets that are added later get none
+            let headers = [("Request-Id", format!("{:x}-idle-{}", self.spec.seed, self.idle_requested))];
+            self.idle_requested += 1;
             let Ok(conn) = event_loop.connect(self.targets[target].address) else {
-                self.refused += 1;
+                self.idle_refused += 1;
                 continue;
             };
             event_loop.write(
                 conn,
                 &http_message::encode_request("GET", &format!("/{}", class.name), "a", &headers, b""),
             );
-            self.silent.insert(conn);
+            self.idle_only.insert(conn);
         }
-        if self.asked < self.spec.behavior.idle {
-            event_loop.schedule_after(IDLE_CONNECT_INTERVAL.scaled(AT_ONCE as f64), TimerEvent::Idle);
+        if self.idle_requested < self.spec.behavior.idle {
+            event_loop.schedule_after(
+                IDLE_CONNECT_INTERVAL.scaled(CONNECTIONS_PER_BATCH as f64),
+                TimerEvent::OpenIdle,
+            );
         }
     }
 
-    fn nonsense(&mut self, event_loop: &mut Loop, intent: usize) {
+    fn send_malformed(&mut self, event_loop: &mut Loop, intent: usize) {
         let bytes: Vec<u8> = match intent % 6 {
             0 => (0..300).map(|_| self.rng.random()).collect(),
             1 => b"GET /".to_vec(),
@@ -414,9 +451,9 @@
             4 => b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc".to_vec(),
             _ => [b"GET / HTTP/1.1\r\nX: ".as_slice(), &[b'a'; 20_000]].concat(),
         };
-        self.open -= 1;
+        self.open_intents -= 1;
         self.first_due.remove(&intent);
-        let Some(target) = self.choose(intent, event_loop.now) else { return };
+        let Some(target) = self.choose_target(intent, event_loop.now) else { return };
         if let Ok(conn) = event_loop.connect(self.targets[target].address) {
             event_loop.write(conn, &bytes);
             event_loop.schedule_after(Micros::from_millis(1500), TimerEvent::Close(conn));
@@ -430,27 +467,27 @@
 
     fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
         if self.spec.behavior.idle > 0 {
-            event_loop.schedule_after(Micros::ZERO, TimerEvent::Idle);
+            event_loop.schedule_after(Micros::ZERO, TimerEvent::OpenIdle);
         }
-        event_loop.schedule_at(self.spec.start, TimerEvent::Next);
-        event_loop.schedule_at(self.spec.start + self.spec.duration, TimerEvent::End);
-        event_loop.schedule_at(self.spec.start + self.spec.duration + SETTLE, TimerEvent::End);
+        event_loop.schedule_at(self.spec.start, TimerEvent::NextIntent);
+        event_loop.schedule_at(self.spec.start + self.spec.duration, TimerEvent::EndOfRun);
+        event_loop.schedule_at(self.spec.start + self.spec.duration + MAX_SETTLE_TIME, TimerEvent::EndOfRun);
         Ok(())
     }
 
     fn on_accept(&mut self, _event_loop: &mut Loop, _listener: ListenerId, _conn: ConnId) {}
 
     fn on_connect(&mut self, event_loop: &mut Loop, conn: ConnId) {
-        // One taken from those kept was written to already, though it may not have been up yet.
-        if let Some(attempt) = self.tries.get_mut(&conn).filter(|attempt| !attempt.up) {
-            attempt.up = true;
-            self.send(event_loop, conn);
+        // On a pooled connection the request is already written, even if the connect had not finished.
+        if let Some(attempt) = self.attempts.get_mut(&conn).filter(|attempt| !attempt.connected) {
+            attempt.connected = true;
+            self.send_request(event_loop, conn);
         }
     }
 
     fn on_written(&mut self, event_loop: &mut Loop, conn: ConnId) {
-        if self.tries.get(&conn).is_some_and(|attempt| !self.spec.intents[attempt.intent].slow_send) {
-            self.sent(event_loop, conn);
+        if self.attempts.get(&conn).is_some_and(|attempt| !self.spec.intents[attempt.intent].slow_send) {
+            self.record_sent(event_loop, conn);
         }
     }
 
@@ -460,94 +497,95 @@
             event_loop.consume(conn, bytes);
             return event_loop.record(What::Unasked { id: String::new(), bytes });
         }
-        if !self.tries.contains_key(&conn) {
+        if !self.attempts.contains_key(&conn) {
             let bytes = event_loop.input(conn).len();
             event_loop.consume(conn, bytes);
             return;
         }
         match http_message::parse_response(event_loop.input(conn)) {
             Ok(None) => {}
-            Ok(Some(answer)) if answer.status < 200 => drop(event_loop.consume(conn, answer.length)),
-            Ok(Some(answer)) => self.answered(event_loop, conn, answer),
+            Ok(Some(response)) if response.status < 200 => drop(event_loop.consume(conn, response.length)),
+            Ok(Some(response)) => self.finish_attempt(event_loop, conn, response),
             Err(e) => {
                 event_loop.close(conn);
-                if let Some(attempt) = self.tries.remove(&conn) {
+                if let Some(attempt) = self.attempts.remove(&conn) {
                     event_loop.record(What::Lost { id: attempt.id, how: format!("no HTTP: {e}") });
-                    self.retry_or_over(event_loop, attempt.intent, attempt.try_no, false, None);
+                    self.retry_or_finish(event_loop, attempt.intent, attempt.retry_number, false, None);
                 }
             }
         }
     }
 
     fn on_close(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd) {
-        let any = !event_loop.input(conn).is_empty();
+        let partial_response = !event_loop.input(conn).is_empty();
         event_loop.close(conn);
-        if self.silent.remove(&conn) {
-            self.refused += 1;
+        if self.idle_only.remove(&conn) {
+            self.idle_refused += 1;
         }
         if let Some(target) = self.idle.remove(&conn) {
             if let Some(target) = self.targets.get_mut(target) {
-                target.kept.retain(|kept| *kept != conn);
+                target.pool.retain(|pooled| *pooled != conn);
             }
         }
-        self.lost(event_loop, conn, how, any);
+        self.fail_on_close(event_loop, conn, how, partial_response);
     }
 
     fn on_timer(&mut self, event_loop: &mut Loop, event: TimerEvent) {
         match event {
-            TimerEvent::Idle => self.open_idle(event_loop),
-            TimerEvent::Next if self.spec.closed_loop_clients > 0 => {
+            TimerEvent::OpenIdle => self.open_idle(event_loop),
+            TimerEvent::NextIntent if self.spec.closed_loop_clients > 0 => {
                 for _ in 0..self.spec.closed_loop_clients {
-                    self.next_closed(event_loop);
+                    self.start_next_closed_loop(event_loop);
                 }
             }
-            TimerEvent::Next => {
-                while self.next < self.spec.intents.len() {
-                    let at = self.spec.start + self.spec.intents[self.next].at;
+            TimerEvent::NextIntent => {
+                while self.next_intent < self.spec.intents.len() {
+                    let at = self.spec.start + self.spec.intents[self.next_intent].at;
                     if at > event_loop.now {
-                        return event_loop.schedule_at(at, TimerEvent::Next);
+                        return event_loop.schedule_at(at, TimerEvent::NextIntent);
                     }
-                    self.next += 1;
-                    self.begin(event_loop, self.next - 1, at);
+                    self.next_intent += 1;
+                    self.start_intent(event_loop, self.next_intent - 1, at);
                 }
             }
-            TimerEvent::Retry(intent, try_no) => self.attempt(event_loop, intent, try_no),
-            TimerEvent::DialLate(conn) => {
-                if self.tries.get(&conn).is_some_and(|attempt| !attempt.up) {
+            TimerEvent::Retry(intent, retry_number) => self.start_attempt(event_loop, intent, retry_number),
+            TimerEvent::ConnectTimeout(conn) => {
+                if self.attempts.get(&conn).is_some_and(|attempt| !attempt.connected) {
                     event_loop.close(conn);
-                    self.lost(event_loop, conn, ConnectionEnd::Refused, false);
+                    self.fail_on_close(event_loop, conn, ConnectionEnd::Refused, false);
                 }
             }
-            TimerEvent::Leave(conn, number) => {
-                let Some(attempt) = self.tries.get(&conn).filter(|attempt| attempt.number == number) else {
+            TimerEvent::GiveUp(conn, serial) => {
+                let Some(attempt) = self.attempts.get(&conn).filter(|attempt| attempt.serial == serial)
+                else {
                     return;
                 };
-                let (intent, try_no, own) =
-                    (attempt.intent, attempt.try_no, event_loop.now < attempt.cut_off);
-                event_loop.record(What::GaveUp { id: attempt.id.clone(), own });
-                self.tries.remove(&conn);
+                let (intent, retry_number, before_deadline) =
+                    (attempt.intent, attempt.retry_number, event_loop.now < attempt.deadline);
+                event_loop.record(What::GaveUp { id: attempt.id.clone(), own: before_deadline });
+                self.attempts.remove(&conn);
                 event_loop.close(conn);
-                if own {
-                    self.over(event_loop, intent, try_no, false);
+                if before_deadline {
+                    self.finish(event_loop, intent, retry_number, false);
                 } else {
-                    self.retry_or_over(event_loop, intent, try_no, false, None);
+                    self.retry_or_finish(event_loop, intent, retry_number, false, None);
                 }
             }
-            TimerEvent::Piece(conn, bytes) => {
-                if self.tries.contains_key(&conn) {
-                    self.piece(event_loop, conn, bytes);
+            TimerEvent::SendRest(conn, bytes) => {
+                if self.attempts.contains_key(&conn) {
+                    self.send_piece(event_loop, conn, bytes);
                 }
             }
-            TimerEvent::ReadOn(conn) => event_loop.set_paused(conn, false),
+            TimerEvent::ResumeReading(conn) => event_loop.set_paused(conn, false),
             TimerEvent::Close(conn) => {
-                if !self.tries.contains_key(&conn) {
+                if !self.attempts.contains_key(&conn) {
                     self.idle.remove(&conn);
                     event_loop.close(conn);
                 }
             }
-            TimerEvent::End if self.ended => event_loop.request_stop(),
-            TimerEvent::End => {
-                self.ended = true;
+            TimerEvent::EndOfRun if self.run_ended => event_loop.request_stop(),
+            TimerEvent::EndOfRun => {
+                self.run_ended = true;
                 self.end_if_done(event_loop);
             }
         }
@@ -555,7 +593,7 @@
 
     fn stop(&mut self, event_loop: &mut Loop) {
         if self.spec.behavior.idle > 0 {
-            event_loop.record(What::Idle { open: self.silent.len(), refused: self.refused });
+            event_loop.record(What::Idle { open: self.idle_only.len(), refused: self.idle_refused });
         }
     }
 
@@ -565,25 +603,25 @@
                 if let Some(target) = self.targets.iter_mut().find(|target| target.name == name) {
                     target.up = up;
                     target.address = address.unwrap_or(target.address);
-                    let kept = if up { Vec::new() } else { std::mem::take(&mut target.kept) };
-                    for conn in kept {
+                    let closing = if up { Vec::new() } else { std::mem::take(&mut target.pool) };
+                    for conn in closing {
                         self.idle.remove(&conn);
                         event_loop.close(conn);
                     }
                 }
             }
             Command::Herd => {
-                let all: Vec<_> = self.idle.keys().copied().collect();
-                for conn in all {
+                let idle: Vec<_> = self.idle.keys().copied().collect();
+                for conn in idle {
                     self.idle.remove(&conn);
                     event_loop.close(conn);
                 }
                 for target in 0..self.targets.len() {
-                    let lost = std::mem::take(&mut self.targets[target].kept).len();
-                    for _ in 0..lost {
+                    let closed = std::mem::take(&mut self.targets[target].pool).len();
+                    for _ in 0..closed {
                         if let Ok(conn) = event_loop.connect(self.targets[target].address) {
                             self.idle.insert(conn, target);
-                            self.targets[target].kept.push(conn);
+                            self.targets[target].pool.push(conn);
                         }
                     }
                 }
--- a/crates/lab/src/component.rs
+++ b/crates/lab/src/component.rs
@@ -1,4 +1,4 @@
-//! A part of the world as the runner holds it: on a thread, or in a process of its own that can be killed.
+//! Starts components and sends them commands: on a thread, or in a process of their own that can be killed.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
@@ -36,9 +36,9 @@
     Clients(clients::Command),
 }
 
-/// What a peer's own process is told first.
+/// The first line on the standard input of a component's process.
 #[derive(Serialize, Deserialize)]
-struct Order {
+struct StartRequest {
     spec: Spec,
     records: PathBuf,
 }
@@ -56,14 +56,14 @@
     }
 }
 
-type Started = io::Result<Arc<Waker>>;
+type StartResult = io::Result<Arc<Waker>>;
 
-/// Runs a part until it halts; tells once whether it has started.
-fn host(spec: Spec, recorder: Recorder, commands: Receiver<Command>, started: Sender<Started>) {
+/// Runs a component until it stops; sends once whether it has started.
+fn run_component(spec: Spec, recorder: Recorder, commands: Receiver<Command>, started: Sender<StartResult>) {
     macro_rules! run {
-        ($part:expr, $kind:ident) => {{
-            let mut part = $part;
-            serve(&mut part, recorder, commands, started, |command| match command {
+        ($component:expr, $kind:ident) => {{
+            let mut component = $component;
+            run_loop(&mut component, recorder, commands, started, |command| match command {
                 Command::$kind(command) => Some(command),
                 _ => None,
             })
@@ -79,36 +79,37 @@
     }
 }
 
-fn serve<P: Component>(
-    part: &mut P,
+fn run_loop<C: Component>(
+    component: &mut C,
     recorder: Recorder,
     commands: Receiver<Command>,
-    started: Sender<Started>,
-    own: impl Fn(Command) -> Option<P::Command> + Send + 'static,
+    started: Sender<StartResult>,
+    select: impl Fn(Command) -> Option<C::Command> + Send + 'static,
 ) where
-    P::Command: Send + 'static,
+    C::Command: Send + 'static,
 {
-    let made = EventLoop::new(recorder).and_then(|event_loop| Ok((event_loop.waker()?, event_loop)));
-    let (waker, mut event_loop) = match made {
-        Ok(made) => made,
+    let created = EventLoop::new(recorder).and_then(|event_loop| Ok((event_loop.waker()?, event_loop)));
+    let (waker, mut event_loop) = match created {
+        Ok(created) => created,
         Err(e) => return drop(started.send(Err(e))),
     };
     let (to, from) = channel();
-    let again = waker.clone();
+    let command_waker = waker.clone();
     std::thread::spawn(move || {
         while let Ok(command) = commands.recv() {
-            if own(command).is_none_or(|command| to.send(command).is_err()) {
+            if select(command).is_none_or(|command| to.send(command).is_err()) {
                 break;
             }
-            let _ = again.wake();
+            let _ = command_waker.wake();
         }
         drop(to);
-        let _ = again.wake();
+        let _ = command_waker.wake();
     });
     let ready = started.clone();
-    // Guards against a waker that is gone, and its last call with it, before the loop has heard it.
-    let _kept = waker.clone();
-    if let Err(e) = event_loop::run(part, &mut event_loop, &from, move || drop(ready.send(Ok(waker)))) {
+    // Keeps the waker alive while the loop runs: if the last one were dropped, its final wake-up could be
+    // lost.
+    let _waker = waker.clone();
+    if let Err(e) = event_loop::run(component, &mut event_loop, &from, move || drop(ready.send(Ok(waker)))) {
         let _ = started.send(Err(e));
     }
 }
@@ -118,30 +119,34 @@
     Process { child: Child, input: Option<ChildStdin> },
 }
 
+/// A running component.
 pub struct ComponentHandle {
     pub name: String,
     location: Location,
 }
 
 impl ComponentHandle {
+    /// Starts a component on a thread of this process.
     pub fn spawn_thread(spec: Spec, recorder: &Recorder) -> Result<ComponentHandle, String> {
         let name = spec.name().to_string();
         let recorder = recorder.named(&name);
         let (commands, from) = channel();
-        let (started, heard) = channel();
+        let (started, start_result) = channel();
         let builder = std::thread::Builder::new().name(name.clone());
-        let thread =
-            builder.spawn(move || host(spec, recorder, from, started)).map_err(|e| format!("{name}: {e}"))?;
-        match heard.recv() {
+        let thread = builder
+            .spawn(move || run_component(spec, recorder, from, started))
+            .map_err(|e| format!("{name}: {e}"))?;
+        match start_result.recv() {
             Ok(Ok(_)) => {
                 Ok(ComponentHandle { name, location: Location::Thread { thread, commands: Some(commands) } })
             }
             Ok(Err(e)) => Err(format!("{name}: {e}")),
-            Err(_) => Err(format!("{name}: ended before it had started")),
+            Err(_) => Err(format!("{name}: stopped before it had started")),
         }
     }
 
-    /// In a process of its own: `program lab peer`, told all on its standard input.
+    /// Starts a component in a process of its own, `program lab peer`, which reads all commands from standard
+    /// input.
     pub fn spawn_process(spec: Spec, program: &Path, records: &Path) -> Result<ComponentHandle, String> {
         let name = spec.name().to_string();
         let fail = |e: io::Error| format!("{name}: {}: {e}", program.display());
@@ -152,18 +157,18 @@
             .spawn()
             .map_err(fail)?;
         let mut input = child.stdin.take();
-        let order = Order { spec, records: records.to_path_buf() };
-        let mut line = serde_json::to_vec(&order).map_err(|e| format!("{name}: {e}"))?;
+        let request = StartRequest { spec, records: records.to_path_buf() };
+        let mut line = serde_json::to_vec(&request).map_err(|e| format!("{name}: {e}"))?;
         line.push(b'\n');
-        let told = input.as_mut().map_or(Ok(()), |input| input.write_all(&line));
-        told.map_err(fail)?;
-        let mut said = String::new();
+        let written = input.as_mut().map_or(Ok(()), |input| input.write_all(&line));
+        written.map_err(fail)?;
+        let mut reply = String::new();
         let output = child.stdout.take().ok_or_else(|| format!("{name}: has no output"))?;
-        BufReader::new(output).read_line(&mut said).map_err(fail)?;
-        if said.trim() != "ready" {
+        BufReader::new(output).read_line(&mut reply).map_err(fail)?;
+        if reply.trim() != "ready" {
             let _ = child.kill();
             let _ = child.wait();
-            return Err(format!("{name}: {}", said.trim()));
+            return Err(format!("{name}: {}", reply.trim()));
         }
         Ok(ComponentHandle { name, location: Location::Process { child, input } })
     }
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Its process, and where that is told things; nothing for a part on a thread.
+    /// The process and its standard input; `None` for a component on a thread.
     pub fn into_process(self) -> Option<(Child, ChildStdin)> {
         match self.location {
             Location::Process { child, input } => Some((child, input?)),
@@ -193,7 +198,7 @@
         }
     }
 
-    /// Ends its process outright; a thread can't be killed.
+    /// Kills the process; returns false for a thread, which can't be killed.
     pub fn kill(&mut self) -> bool {
         match &mut self.location {
             Location::Thread { .. } => false,
@@ -201,7 +206,6 @@
         }
     }
 
-    /// Whether it has ended by itself.
     pub fn has_exited(&mut self) -> bool {
         match &mut self.location {
             Location::Thread { thread, .. } => thread.is_finished(),
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Ends it, once it has written its last records; an error if it panicked.
+    /// Stops the component after it has written its last records; an error if it panicked.
     pub fn stop(mut self) -> Result<(), String> {
         let name = std::mem::take(&mut self.name);
         match &mut self.location {
@@ -229,16 +233,18 @@
     }
 }
 
-/// The program side of `ComponentHandle::apart`.
+/// The main function of a process that `ComponentHandle::spawn_process` starts.
 pub fn process_main() -> Result<(), String> {
-    // Guards against a part that is stopped when the lab is killed: it would not see its input's end.
+    // Ends this process with the lab: a component that is suspended when the lab is killed would not see the
+    // end of its input.
     let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
     let mut lines = io::stdin().lock().lines();
     let first = lines.next().transpose().map_err(|e| e.to_string())?.ok_or("nothing on standard input")?;
-    let order: Order = serde_json::from_str(&first).map_err(|e| format!("no order for a peer: {e}"))?;
-    let recorder = Recorder::open(&order.records, order.spec.name()).map_err(|e| e.to_string())?;
-    let mut peer = match ComponentHandle::spawn_thread(order.spec, &recorder) {
-        Ok(peer) => peer,
+    let request: StartRequest =
+        serde_json::from_str(&first).map_err(|e| format!("invalid start request for a component: {e}"))?;
+    let recorder = Recorder::open(&request.records, request.spec.name()).map_err(|e| e.to_string())?;
+    let mut component = match ComponentHandle::spawn_thread(request.spec, &recorder) {
+        Ok(component) => component,
         Err(e) => {
             println!("{e}");
             return Err(e);
@@ -248,18 +254,18 @@
     for line in lines.map_while(Result::ok) {
         match serde_json::from_str(&line) {
             Ok(command) => {
-                let leaves = matches!(command, Command::Balancer(balancer::Command::Leave));
-                peer.send(command);
-                // It ends by itself once all is answered; the lab ends it if not.
-                while leaves && !peer.has_exited() {
+                let drains = matches!(command, Command::Balancer(balancer::Command::Leave));
+                component.send(command);
+                // It stops by itself once no request is pending; otherwise the lab stops it.
+                while drains && !component.has_exited() {
                     std::thread::sleep(std::time::Duration::from_millis(2));
                 }
-                if leaves {
+                if drains {
                     return Ok(());
                 }
             }
-            Err(e) => return Err(format!("no command for a peer: {e}")),
+            Err(e) => return Err(format!("invalid command for a component: {e}")),
         }
     }
-    peer.stop()
+    component.stop()
 }
--- a/crates/lab/src/event_loop.rs
+++ b/crates/lab/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! A single-threaded event loop over sockets and timers that runs one component of a scenario. The loop calls the
-//! component's handlers, which act through the loop and never block.
+//! A single-threaded event loop over sockets and timers that runs one component of a scenario. The loop calls
+//! the component's handlers, which act through the loop and never block.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -412,8 +412,8 @@
             }
         }
         event_loop.now = At::now();
-        // Runs only timers set before this point: a timer that sets itself again with no delay would otherwise
-        // keep the loop here forever.
+        // Runs only timers set before this point: a timer that sets itself again with no delay would
+        // otherwise keep the loop here forever.
         let last_id_before = event_loop.last_id;
         while let Some(first) = event_loop.timers.first_entry() {
             let (at, number) = *first.key();
--- a/crates/lab/src/peer_network.rs
+++ b/crates/lab/src/peer_network.rs
@@ -1,7 +1,7 @@
-//! The emulated network between the proxies of a tier. Each proxy knows the others only by advertised addresses, at
-//! which this component listens. It identifies a datagram or a stream by its sender's real address and by the
-//! advertised address it was sent to, and forwards it from the sender's advertised address. So every ordered pair
-//! of proxies has a network path of its own, on which faults can act.
+//! The emulated network between the proxies of a tier. Each proxy knows the others only by advertised
+//! addresses, at which this component listens. It identifies a datagram or a stream by its sender's real
+//! address and by the advertised address it was sent to, and forwards it from the sender's advertised
+//! address. So every ordered pair of proxies has a network path of its own, on which faults can act.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -33,7 +33,8 @@
 const RETRANSMIT_DELAY: Micros = Micros::from_millis(200); // of lost bytes of a stream
 const PATH_BUFFER_BYTES: usize = 256 * 1024;
 const MAX_DATAGRAM_BYTES: usize = 65_507; // the largest UDP payload over IPv4
-/// Above this p99 the run is void: the lab's own lateness, not the program, shaped the traffic between proxies.
+/// Above this p99 the run is void: the lab's own lateness, not the program, shaped the traffic between
+/// proxies.
 const MAX_TIMER_LATENESS: Micros = Micros::from_millis(20);
 
 /// The address at which a proxy listens, and the one that is advertised to the others.
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay that emulates the link between two components: it forwards bytes after a delay, in order, within a
-//! bounded buffer, and can be cut, delayed or black-holed.
+//! A TCP relay that emulates the link between two components: it forwards bytes after a delay, in order,
+//! within a bounded buffer, and can be cut, delayed or black-holed.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/lab/src/stream_forwarder.rs
+++ b/crates/lab/src/stream_forwarder.rs
@@ -1,5 +1,5 @@
-//! Forwards bytes between pairs of connections: after a delay, in order, within a bounded buffer, and as the state of
-//! the network path allows.
+//! Forwards bytes between pairs of connections: after a delay, in order, within a bounded buffer, and as the
+//! state of the network path allows.
 
 use std::collections::{BTreeMap, VecDeque};
 
