--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -11,9 +11,9 @@
 
 use clap::Args;
 use sparlug_lab::clock::{At, Micros};
-use sparlug_lab::outcome;
-use sparlug_lab::record::{Record, What};
+use sparlug_lab::record::{Record, RecordKind};
 use sparlug_lab::run::{self, Options};
+use sparlug_lab::run_figures;
 use sparlug_lab::scenario::Fault;
 use sparlug_lab::scenario_file::ScenarioFile;
 
@@ -64,39 +64,43 @@
 
 impl LiveStats {
     fn apply(&mut self, record: Record) {
-        let Record { t, part, what } = record;
+        let Record { t, component: part, kind: what } = record;
         match what {
-            What::Answered { status: 200, .. } => {
+            RecordKind::ResponseReceived { status: 200, .. } => {
                 self.served += 1;
                 self.total_served += 1;
             }
-            What::Answered { status: 429 | 503, .. } => self.refused += 1,
-            What::Answered { .. } | What::Lost { .. } | What::GaveUp { .. } => self.failed += 1,
-            What::Over { due, honoured: true, .. } => self.latencies_us.push(t.since(due).0 as u64),
-            What::Arrived { .. } => {
+            RecordKind::ResponseReceived { status: 429 | 503, .. } => self.refused += 1,
+            RecordKind::ResponseReceived { .. }
+            | RecordKind::ConnectionLost { .. }
+            | RecordKind::GaveUp { .. } => self.failed += 1,
+            RecordKind::IntentFinished { due, honoured: true, .. } => {
+                self.latencies_us.push(t.since(due).0 as u64)
+            }
+            RecordKind::Arrived { .. } => {
                 *self.in_flight.entry(part.clone()).or_default() += 1;
                 *self.arrivals.entry(part).or_default() += 1;
             }
-            What::Refused { .. } | What::Done { .. } | What::Dropped { .. } => {
+            RecordKind::Refused { .. } | RecordKind::Finished { .. } | RecordKind::CallerGone { .. } => {
                 *self.in_flight.entry(part).or_default() -= 1;
             }
-            What::View { proxy, there, dead, counted } => {
+            RecordKind::MembershipView { proxy, there, dead, counted } => {
                 self.views.insert(proxy, (there.len(), dead.len(), counted));
             }
-            What::ProxyDown { proxy, how } => {
+            RecordKind::ProxyDown { proxy, how } => {
                 self.views.remove(&proxy);
                 self.states.insert(proxy, how);
             }
-            What::ProxyUp { proxy } => drop(self.states.insert(proxy, "up".to_string())),
-            What::Started { warm, .. } => {
+            RecordKind::ProxyUp { proxy } => drop(self.states.insert(proxy, "up".to_string())),
+            RecordKind::Started { warm, .. } => {
                 let state = if warm { "up" } else { "up, came back cold" };
                 self.states.insert(part, state.to_string());
             }
-            What::Stopped { how } => {
+            RecordKind::Stopped { how } => {
                 self.in_flight.insert(part.clone(), 0);
                 self.states.insert(part, how);
             }
-            What::Fault { text, on, .. } => {
+            RecordKind::Fault { text, on, .. } => {
                 if let Some((kind, part)) = text.split_once(' ') {
                     let state = if on { kind.to_lowercase() } else { "up".to_string() };
                     self.states.insert(part.to_string(), state);
@@ -108,7 +112,7 @@
 
     /// Formats the table and resets the counts that it shows per second.
     fn table(&mut self, seconds: u64) -> String {
-        let mut histogram = outcome::histogram();
+        let mut histogram = run_figures::histogram();
         self.latencies_us.drain(..).for_each(|us| histogram.record(us.max(1)).unwrap_or_default());
         let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         let (p50, p99) = (quantile_ms(0.5), quantile_ms(0.99));
--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -9,11 +9,11 @@
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use sparlug_lab::clock::Micros;
-use sparlug_lab::experiment::{self, Plan, Results};
-use sparlug_lab::hunt::{self, Found, Search};
-use sparlug_lab::ledger::Rule;
+use sparlug_lab::experiment::{self, Experiment, Results};
+use sparlug_lab::rules::Rule;
 use sparlug_lab::run::Failure;
 use sparlug_lab::scenario_file::ScenarioFile;
+use sparlug_lab::search::{self, Finding, Search};
 use sparlug_lab::{component, report};
 
 use crate::{hold, CommandError};
@@ -91,7 +91,7 @@
             lasts: self.duration,
             jobs: self.jobs.unwrap_or(cores / 3).clamp(1, 25),
             seconds: self.seconds,
-            out: self.out.unwrap_or_else(|| hunt::folder(&self.file)),
+            out: self.out.unwrap_or_else(|| search::default_folder(&self.file)),
             stop: install_stop_flag()?,
         };
         let progress = progress_bar(self.quiet, self.runs);
@@ -125,7 +125,8 @@
             outcome.found.len()
         );
         let rule_names: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
-        let breaks_rule = |found: &Found| found.marks.iter().any(|mark| rule_names.contains(&mark.as_str()));
+        let breaks_rule =
+            |found: &Finding| found.marks.iter().any(|mark| rule_names.contains(&mark.as_str()));
         match outcome.found.len() {
             0 => Ok(()),
             count if outcome.found.iter().any(breaks_rule) => Err(CommandError {
@@ -283,7 +284,7 @@
         let program = current_program()?;
         let (seed, seeds, short, kept_records) =
             (self.seed, self.seeds, self.short, out.map(Path::to_path_buf));
-        let plan = Plan { source, seed, seeds, short, program, out: kept_records, stop };
+        let plan = Experiment { source, seed, seeds, short, program, out: kept_records, stop };
         let progress = progress_bar(self.quiet, 1000);
         let runs = plan.run(&mut |done, total, fraction, variant| {
             progress.set_message(format!("{} {}/{total}", variant, done + 1));
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use sparlug_lab::clock::{At, Micros};
-use sparlug_lab::ledger::{judge, Rule};
-use sparlug_lab::record::{self, Record, What};
+use sparlug_lab::record::{self, Record, RecordKind};
+use sparlug_lab::rules::{judge, Rule};
 use sparlug_lab::run::{self, Options};
 use sparlug_lab::scenario::Scenario;
 use sparlug_lab::scenario_file::ScenarioFile;
@@ -61,9 +61,9 @@
 
 /// When a proxy stopped or started, and how.
 fn state_changes(records: &[Record], name: &str) -> Vec<(At, String)> {
-    let found = records.iter().filter_map(|record| match &record.what {
-        What::ProxyDown { proxy, how } if proxy == name => Some((record.t, how.clone())),
-        What::ProxyUp { proxy } if proxy == name => Some((record.t, "up".to_string())),
+    let found = records.iter().filter_map(|record| match &record.kind {
+        RecordKind::ProxyDown { proxy, how } if proxy == name => Some((record.t, how.clone())),
+        RecordKind::ProxyUp { proxy } if proxy == name => Some((record.t, "up".to_string())),
         _ => None,
     });
     found.collect()
@@ -77,7 +77,7 @@
 /// When a proxy was first told by the agent that a backend drains, which is not `Ready` any more.
 fn drain_notice_time(records: &[Record], name: &str) -> At {
     let found = records.iter().find(|record| {
-        matches!(&record.what, What::Told { proxy, health, .. } if proxy == name && health != "Ready")
+        matches!(&record.kind, RecordKind::HealthReported { proxy, health, .. } if proxy == name && health != "Ready")
     });
     found.unwrap_or_else(|| panic!("{name} was never told")).t
 }
@@ -95,8 +95,8 @@
             (state_changes(&records, proxy)[0].0, state_changes(&records, proxy)[1].0);
         let sent: Vec<At> = records
             .iter()
-            .filter_map(|record| match &record.what {
-                What::Sent { to, .. } if to == proxy => Some(record.t),
+            .filter_map(|record| match &record.kind {
+                RecordKind::Sent { to, .. } if to == proxy => Some(record.t),
                 _ => None,
             })
             .collect();
@@ -108,8 +108,10 @@
     }
     // A proxy's configuration names the number of proxies at the time when it was written: two for the first
     // proxies, more for those that were started later.
-    let not_served =
-        records.iter().filter(|record| matches!(record.what, What::Over { honoured: false, .. })).count();
+    let not_served = records
+        .iter()
+        .filter(|record| matches!(record.kind, RecordKind::IntentFinished { honoured: false, .. }))
+        .count();
     assert_eq!(not_served, 0);
 }
 
@@ -123,9 +125,11 @@
     let mut proxy_of_request = std::collections::BTreeMap::new();
     let mut answered: Vec<(&str, At)> = Vec::new();
     for record in &records {
-        match &record.what {
-            What::Sent { id, to: proxy, .. } => drop(proxy_of_request.insert(id.as_str(), proxy.as_str())),
-            What::Answered { id, .. } => {
+        match &record.kind {
+            RecordKind::Sent { id, to: proxy, .. } => {
+                proxy_of_request.insert(id.as_str(), proxy.as_str());
+            }
+            RecordKind::ResponseReceived { id, .. } => {
                 answered.extend(proxy_of_request.get(id.as_str()).map(|proxy| (*proxy, record.t)))
             }
             _ => {}
@@ -329,7 +333,7 @@
     let ranges =
         "hunt={faults=[1,2], fault=[{kind=\"crash\", parts=[\"front/s-*\"], at=[\"300ms\",\"600ms\"], \
                   for=[\"600ms\",\"900ms\"]}, {kind=\"loss\", parts=[\"front/w-*\"]}]}";
-    assert_search_finds("crowd-together", Rule::Cold, ranges);
+    assert_search_finds("crowd-together", Rule::SlowStart, ranges);
     // The load of a single proxy is not enough to overload the backend.
     let one_proxy = ["--runs", "2", "--for", "4s", "--set", ranges, "--set", "tier.0.proxies=1"];
     let (status, output, _) = search_with_defect("crowd-together", "alone", &one_proxy);
@@ -341,5 +345,5 @@
 fn the_search_finds_a_proxy_that_forgets_a_drain_on_restart() {
     let ranges = "hunt={faults=[2,3], fault=[{kind=\"drain\", parts=[\"front/s-*\"], at=[\"300ms\",\"600ms\"], \
                   for=[\"3s\",\"3300ms\"]}, {kind=\"restart\", parts=[\"front/p-*\"], at=[\"1s\",\"1500ms\"]}]}";
-    assert_search_finds("forget-drain", Rule::Drains, ranges);
+    assert_search_finds("forget-drain", Rule::DrainGrace, ranges);
 }
--- a/crates/lab/src/agent.rs
+++ b/crates/lab/src/agent.rs
@@ -11,7 +11,7 @@
 use crate::clock::{At, Micros};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
-use crate::record::What;
+use crate::record::RecordKind;
 
 /// A backend on the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -213,7 +213,7 @@
                 current.iter().filter(|(host, health)| view.known_health.get(*host) != Some(*health));
             for (host, health) in gone.chain(changed.map(|(host, health)| (host, health.as_str()))) {
                 let (proxy, host, health) = (view.name.clone(), host.clone(), health.to_string());
-                event_loop.record(What::Told { proxy, host, health, seq });
+                event_loop.record(RecordKind::HealthReported { proxy, host, health, seq });
             }
             view.known_health = current;
         }
@@ -260,7 +260,7 @@
         let proxy = &self.views[view].name;
         for entry in hosts {
             let (host, health) = (entry.host, entry.health);
-            event_loop.record(What::Told { proxy: proxy.clone(), host, health, seq });
+            event_loop.record(RecordKind::HealthReported { proxy: proxy.clone(), host, health, seq });
         }
     }
 
@@ -316,7 +316,9 @@
         let to = self.views[view].address;
         match event_loop.listen(to) {
             Ok(listener) => self.views[view].listener = Some(listener),
-            Err(e) => event_loop.record(What::Note { text: format!("agent cannot listen on {to}: {e}") }),
+            Err(e) => {
+                event_loop.record(RecordKind::Note { text: format!("agent cannot listen on {to}: {e}") })
+            }
         }
     }
 
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -12,7 +12,7 @@
 use crate::clock::{At, Micros};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message::{self, Message};
-use crate::record::What;
+use crate::record::RecordKind;
 use crate::scenario::{Class, Effect, FaultKind, Tier};
 
 /// What the backend is started with.
@@ -160,13 +160,13 @@
         self.cold_since = (!warm).then(At::now);
         (self.draining, self.shutting_down) = (false, false);
         self.arrivals.clear();
-        event_loop.record(What::Started { warm, life: self.generation });
+        event_loop.record(RecordKind::Started { warm, life: self.generation });
         Ok(())
     }
 
     fn stop_process(&mut self, event_loop: &mut Loop, how: &str) {
         let Some(listener) = self.listener.take() else { return };
-        event_loop.record(What::Stopped { how: how.to_string() });
+        event_loop.record(RecordKind::Stopped { how: how.to_string() });
         event_loop.close_listener(listener);
         for conn in event_loop.connections() {
             event_loop.reset(conn);
@@ -273,7 +273,11 @@
         };
         let id = id.to_string();
         self.request_count += 1;
-        event_loop.record(What::Arrived { id: id.clone(), first: first_byte_at, class: class.name.clone() });
+        event_loop.record(RecordKind::Arrived {
+            id: id.clone(),
+            first: first_byte_at,
+            class: class.name.clone(),
+        });
         self.check_overload(event_loop);
         if self.listener.is_none() {
             return;
@@ -291,7 +295,7 @@
             None
         };
         if let Some(why) = refusal {
-            event_loop.record(What::Refused { id, why: why.to_string() });
+            event_loop.record(RecordKind::Refused { id, why: why.to_string() });
             return self.send_response(event_loop, conn, 503, true, b"");
         }
         self.job_count += 1;
@@ -337,7 +341,8 @@
         // With fewer than a few dozen arrivals in a window, chance alone gives such multiples.
         let overload_threshold = (capacity * tier.fall_multiple).max(30.0);
         if capacity_ratio < 1.0 && full_window && self.arrivals.len() as f64 > overload_threshold {
-            event_loop.record(What::Fell { offered: self.arrivals.len() as f64, bearable: capacity });
+            event_loop
+                .record(RecordKind::Overloaded { offered: self.arrivals.len() as f64, bearable: capacity });
             self.stop_process(event_loop, "fell over");
         }
     }
@@ -365,7 +370,7 @@
             if let Some(job) = self.jobs.get_mut(&number) {
                 job.finish_at = finish_at;
             }
-            event_loop.record(What::Began { id });
+            event_loop.record(RecordKind::ProcessingStarted { id });
             self.running += 1;
             event_loop.schedule_at(finish_at, TimerEvent::Finish(number));
         }
@@ -415,7 +420,7 @@
             Err(_) => return self.respond(event_loop, number, 500),
         };
         event_loop.write(conn, &bytes);
-        event_loop.record(What::Called { id, by, to, cut_off: deadline });
+        event_loop.record(RecordKind::CallSent { id, by, to, cut_off: deadline });
         self.calls.insert(conn, number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.open_call = Some(conn);
@@ -428,7 +433,7 @@
         let status = if self.fault_amount(FaultKind::Error, &id).is_some() { 500 } else { status };
         let drawn: f64 = arrivals::request_rng(self.spec.seed, &id, 0xe7).random();
         let status = if drawn < self.spec.tier.error_rate { 500 } else { status };
-        event_loop.record(What::Done { id: id.clone(), status });
+        event_loop.record(RecordKind::Finished { id: id.clone(), status });
         let body = format!("{} {} {}\n", self.spec.name, id, job.body_bytes);
         let response =
             http_message::encode_response(status, &[("Server-Load", self.load_report())], body.as_bytes());
@@ -477,7 +482,7 @@
             return;
         }
         let Some(job) = self.jobs.remove(&number) else { return };
-        event_loop.record(What::Dropped { id: job.id, began: job.started });
+        event_loop.record(RecordKind::CallerGone { id: job.id, began: job.started });
         self.waiting.retain(|waiting| *waiting != number);
         if let Some(call) = job.open_call {
             self.calls.remove(&call);
@@ -500,7 +505,7 @@
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.open_call = None;
         let id = format!("{}.{}.{}", job.id, self.spec.name.replace('/', "-"), job.calls_made);
-        event_loop.record(What::CallEnded { id, status });
+        event_loop.record(RecordKind::CallEnded { id, status });
         if status == 200 {
             self.call_or_respond(event_loop, number);
         } else {
@@ -606,7 +611,7 @@
                 self.spec.address = address.unwrap_or(self.spec.address);
                 self.stop_process(event_loop, "replaced");
                 if let Err(e) = self.start_process(event_loop, warm) {
-                    event_loop.record(What::Note { text: e.to_string() });
+                    event_loop.record(RecordKind::Note { text: e.to_string() });
                 }
             }
             Command::Crash => self.stop_process(event_loop, "crashed"),
--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -13,7 +13,7 @@
 use crate::clock::{At, Micros};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
-use crate::record::What;
+use crate::record::RecordKind;
 use crate::scenario::{Balance, Class, Effect, SeededDefect};
 
 /// What the balancer is started with.
@@ -357,7 +357,7 @@
             }
         };
         let (proxy, host, health) = (self.spec.name.clone(), entry.host.clone(), entry.health.clone());
-        event_loop.record(What::Told { proxy, host, health, seq: 0 });
+        event_loop.record(RecordKind::HealthReported { proxy, host, health, seq: 0 });
         let ignores_drain =
             self.spec.seeded_defect == Some(SeededDefect::ForgetDrain) && self.spec.restarted && first;
         if ignores_drain && entry.health == "Terminating" {
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -14,7 +14,7 @@
 use crate::clock::{At, Micros};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
-use crate::record::What;
+use crate::record::RecordKind;
 use crate::scenario::{Class, ClientBehavior, Effect};
 
 /// How long a target that refused a connection is skipped.
@@ -225,7 +225,10 @@
     }
 
     fn fail_unsent(&mut self, event_loop: &mut Loop, intent: usize, retry_number: u16, why: &str) {
-        event_loop.record(What::NotTaken { id: self.request_id(intent, retry_number), why: why.to_string() });
+        event_loop.record(RecordKind::SendIncomplete {
+            id: self.request_id(intent, retry_number),
+            why: why.to_string(),
+        });
         self.retry_or_finish(event_loop, intent, retry_number, true, None);
     }
 
@@ -280,7 +283,7 @@
         (attempt.sent, attempt.deadline) = (Some(now), now + class.deadline);
         let (id, to) = (attempt.id.clone(), self.targets[attempt.target].name.clone());
         let (deadline, retry_number) = (attempt.deadline, attempt.retry_number);
-        event_loop.record(What::Sent {
+        event_loop.record(RecordKind::Sent {
             id,
             intent: intent as u64,
             class: class.name,
@@ -306,11 +309,15 @@
         let Some(attempt) = self.attempts.remove(&conn) else { return };
         event_loop.consume(conn, response.length);
         let retry_after_ms = response.number("Retry-After").map(|seconds| seconds * 1000.0);
-        event_loop.record(What::Answered { id: attempt.id.clone(), status: response.status, retry_after_ms });
+        event_loop.record(RecordKind::ResponseReceived {
+            id: attempt.id.clone(),
+            status: response.status,
+            retry_after_ms,
+        });
         // Bytes beyond the response.
         let extra_bytes = event_loop.input(conn).len();
         if extra_bytes > 0 {
-            event_loop.record(What::Unasked { id: attempt.id.clone(), bytes: extra_bytes });
+            event_loop.record(RecordKind::UnsolicitedBytes { id: attempt.id.clone(), bytes: extra_bytes });
             event_loop.close(conn);
         } else if response.closes() || !self.spec.behavior.keep {
             self.idle.insert(conn, usize::MAX);
@@ -352,7 +359,7 @@
     fn finish(&mut self, event_loop: &mut Loop, intent: usize, retry_number: u16, served: bool) {
         let due = self.first_due.remove(&intent).unwrap_or(event_loop.now);
         let class = self.class(intent).name.clone();
-        event_loop.record(What::Over {
+        event_loop.record(RecordKind::IntentFinished {
             intent: intent as u64,
             class,
             due,
@@ -396,13 +403,13 @@
             if !attempt.reused {
                 self.targets[attempt.target].down_until = event_loop.now + TARGET_RETRY_DELAY;
             }
-            event_loop.record(What::NotTaken { id: attempt.id, why: format!("{how:?}") });
+            event_loop.record(RecordKind::SendIncomplete { id: attempt.id, why: format!("{how:?}") });
             return self.retry_or_finish(event_loop, intent, retry_number, true, None);
         }
         let at_most_once = self.class(intent).effect == Effect::AtMostOnce;
         if attempt.reused && !partial_response && !attempt.resent && !at_most_once {
             if let Ok(conn) = event_loop.connect(self.targets[attempt.target].address) {
-                event_loop.record(What::SentAgain { id: attempt.id.clone() });
+                event_loop.record(RecordKind::Resent { id: attempt.id.clone() });
                 (attempt.reused, attempt.resent, attempt.connected, attempt.sent) =
                     (false, true, false, None);
                 self.attempts.insert(conn, attempt);
@@ -410,7 +417,10 @@
             }
         }
         let kind = if attempt.reused { "kept" } else { "new" };
-        event_loop.record(What::Lost { id: attempt.id, how: format!("{how:?} on a {kind} connection") });
+        event_loop.record(RecordKind::ConnectionLost {
+            id: attempt.id,
+            how: format!("{how:?} on a {kind} connection"),
+        });
         self.retry_or_finish(event_loop, intent, retry_number, false, None);
     }
 
@@ -495,7 +505,7 @@
         if self.idle.contains_key(&conn) {
             let bytes = event_loop.input(conn).len();
             event_loop.consume(conn, bytes);
-            return event_loop.record(What::Unasked { id: String::new(), bytes });
+            return event_loop.record(RecordKind::UnsolicitedBytes { id: String::new(), bytes });
         }
         if !self.attempts.contains_key(&conn) {
             let bytes = event_loop.input(conn).len();
@@ -509,7 +519,8 @@
             Err(e) => {
                 event_loop.close(conn);
                 if let Some(attempt) = self.attempts.remove(&conn) {
-                    event_loop.record(What::Lost { id: attempt.id, how: format!("no HTTP: {e}") });
+                    event_loop
+                        .record(RecordKind::ConnectionLost { id: attempt.id, how: format!("no HTTP: {e}") });
                     self.retry_or_finish(event_loop, attempt.intent, attempt.retry_number, false, None);
                 }
             }
@@ -562,7 +573,7 @@
                 };
                 let (intent, retry_number, before_deadline) =
                     (attempt.intent, attempt.retry_number, event_loop.now < attempt.deadline);
-                event_loop.record(What::GaveUp { id: attempt.id.clone(), own: before_deadline });
+                event_loop.record(RecordKind::GaveUp { id: attempt.id.clone(), own: before_deadline });
                 self.attempts.remove(&conn);
                 event_loop.close(conn);
                 if before_deadline {
@@ -593,7 +604,10 @@
 
     fn stop(&mut self, event_loop: &mut Loop) {
         if self.spec.behavior.idle > 0 {
-            event_loop.record(What::Idle { open: self.idle_only.len(), refused: self.idle_refused });
+            event_loop.record(RecordKind::IdleConnections {
+                open: self.idle_only.len(),
+                refused: self.idle_refused,
+            });
         }
     }
 
--- a/crates/lab/src/tenures.rs
+++ b/crates/lab/src/duty_figures.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::{At, Micros};
 use crate::figures::FleetFigures;
-use crate::record::{Record, What};
+use crate::record::{Record, RecordKind};
 
 /// One proxy says that it holds a duty. It looked at its clock after it was asked and before its answer came.
 struct Held<'a> {
@@ -39,12 +39,12 @@
     let mut duties: BTreeMap<&str, Vec<Held>> = BTreeMap::new();
     let mut ends: Vec<(At, &str, bool)> = Vec::new();
     for record in records {
-        match &record.what {
-            What::Duty { proxy, duty, term, took } => {
+        match &record.kind {
+            RecordKind::DutyHeld { proxy, duty, term, took } => {
                 let (asked, answered) = (record.t - Micros(*took), record.t);
                 duties.entry(duty).or_default().push(Held { asked, answered, proxy, term: *term });
             }
-            What::ProxyDown { proxy, how } if how == "kill" || how == "term" => {
+            RecordKind::ProxyDown { proxy, how } if how == "kill" || how == "term" => {
                 ends.push((record.t, proxy, how == "kill"));
             }
             _ => {}
--- a/crates/lab/src/event_loop.rs
+++ b/crates/lab/src/event_loop.rs
@@ -15,7 +15,7 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::clock::{At, Micros};
-use crate::record::{Recorder, What};
+use crate::record::{RecordKind, Recorder};
 
 const WAKER: Token = Token(0);
 const READ_BUFFER_BYTES: usize = 64 * 1024;
@@ -135,7 +135,7 @@
         Ok(Arc::new(Waker::new(self.poll.registry(), WAKER)?))
     }
 
-    pub fn record(&self, what: What) {
+    pub fn record(&self, what: RecordKind) {
         self.recorder.write(At::now(), what);
     }
 
@@ -428,7 +428,7 @@
     event_loop.now = At::now();
     component.stop(event_loop);
     let (Micros(p99_us), Micros(max_us)) = event_loop.timer_lateness();
-    event_loop.record(What::Late { p99_us, max_us });
+    event_loop.record(RecordKind::TimerLateness { p99_us, max_us });
     Ok(())
 }
 
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::figures::Figures;
-use crate::ledger::{self, Verdict};
-use crate::outcome::{self, Slice};
+use crate::rules::{self, Verdict};
 use crate::run::{self, CompletedRun, Failure};
+use crate::run_figures::{self, Slice};
 use crate::scenario::{Scenario, Variant};
 use crate::scenario_file::ScenarioFile;
 use crate::{arrivals, record};
@@ -17,7 +17,7 @@
 /// Of the JSON results; goes up when a field changes its meaning.
 pub const SCHEMA: u32 = 1;
 
-pub struct Plan {
+pub struct Experiment {
     pub source: ScenarioFile,
     pub seed: Option<u64>,
     pub seeds: u64,
@@ -29,7 +29,7 @@
 }
 
 /// One run of one variant.
-pub struct Run {
+pub struct RunOutcome {
     pub variant: String,
     pub seed: u64,
     pub lawless: bool,
@@ -112,7 +112,7 @@
     }
 }
 
-impl Plan {
+impl Experiment {
     /// Checks all that can be checked before anything is started.
     pub fn variants(&self) -> Result<Vec<(Variant, Scenario)>, String> {
         let base = self.source.scenario(None, self.short)?;
@@ -135,7 +135,7 @@
     }
 
     /// Runs all; `progress` is told how many runs are done, of how many, and what part of the present one.
-    pub fn run(&self, progress: &mut dyn FnMut(usize, usize, f64, &str)) -> Result<Vec<Run>, Failure> {
+    pub fn run(&self, progress: &mut dyn FnMut(usize, usize, f64, &str)) -> Result<Vec<RunOutcome>, Failure> {
         let variants = self.variants().map_err(Failure::InvalidInput)?;
         let first = self.seed.unwrap_or_else(|| variants.first().map_or(1, |(_, scenario)| scenario.seed));
         let total = variants.len() * self.seeds as usize;
@@ -149,7 +149,8 @@
                 let options = run::Options { program, dir, stop, front: None };
                 let mut told = |part: f64| progress(done, total, part, &variant.name);
                 let ran = run::run(scenario, seed, &options, &mut told)?;
-                let run = Run::of(variant, scenario.clone(), seed, ran).map_err(Failure::Environment)?;
+                let run =
+                    RunOutcome::of(variant, scenario.clone(), seed, ran).map_err(Failure::Environment)?;
                 runs.push(run);
                 if self.out.is_none() {
                     let _ = std::fs::remove_dir_all(&options.dir);
@@ -189,13 +190,18 @@
     }
 }
 
-impl Run {
-    pub fn of(variant: &Variant, scenario: Scenario, seed: u64, ran: CompletedRun) -> Result<Run, String> {
+impl RunOutcome {
+    pub fn of(
+        variant: &Variant,
+        scenario: Scenario,
+        seed: u64,
+        ran: CompletedRun,
+    ) -> Result<RunOutcome, String> {
         let records = record::read(&run::records_path(&ran.dir))?;
-        let verdict = ledger::judge(&records, &scenario);
-        let figures = outcome::figures(&records, &scenario, ran.start);
+        let verdict = rules::judge(&records, &scenario);
+        let figures = run_figures::figures(&records, &scenario, ran.start);
         let mut missed = figures.missed(&scenario.bounds);
-        let series = outcome::slices(&records, ran.start, ran.duration);
+        let series = run_figures::slices(&records, ran.start, ran.duration);
         if figures.intents == 0 {
             missed.push("no intent was ever over: nothing was measured".to_string());
         }
@@ -206,13 +212,13 @@
             if let Some(id) = &breach.id {
                 let logs = logs_of(&ran.dir);
                 timelines.extend(
-                    ledger::timeline(&records, id, ran.start, &logs).into_iter().map(|l| format!("    {l}")),
+                    rules::timeline(&records, id, ran.start, &logs).into_iter().map(|l| format!("    {l}")),
                 );
             }
         }
         let (variant, lawless) = (variant.name.clone(), variant.skip_rules);
-        let faults = records.iter().filter_map(|record| match &record.what {
-            record::What::Fault { text, on, .. } => Some(format!("{text} {on}")),
+        let faults = records.iter().filter_map(|record| match &record.kind {
+            record::RecordKind::Fault { text, on, .. } => Some(format!("{text} {on}")),
             _ => None,
         });
         // A closed loop's plan is its seed: what is taken of it depends on the answers.
@@ -225,7 +231,19 @@
             "{arrivals:016x}-{:016x}",
             arrivals::hash_with_seed(0, &faults.collect::<Vec<_>>().join(";"))
         );
-        Ok(Run { variant, seed, lawless, plan, scenario, ran, figures, verdict, series, missed, timelines })
+        Ok(RunOutcome {
+            variant,
+            seed,
+            lawless,
+            plan,
+            scenario,
+            ran,
+            figures,
+            verdict,
+            series,
+            missed,
+            timelines,
+        })
     }
 
     fn result(&self) -> RunResult {
@@ -262,7 +280,7 @@
 }
 
 /// Sums the runs up.
-pub fn results(runs: &[Run]) -> Results {
+pub fn results(runs: &[RunOutcome]) -> Results {
     let scenario = runs.first().map(|run| &run.scenario);
     let of = |variant: &str, figure: &str| -> Vec<(u64, f64)> {
         let own = runs.iter().filter(|run| run.variant == variant);
@@ -303,7 +321,7 @@
             + ratios.iter().filter(|ratio| ratio.missed.is_some()).count(),
         unsure: runs.iter().any(|run| run.verdict.unsure()),
         void: runs.iter().any(|run| run.verdict.void.is_some()),
-        runs: runs.iter().map(Run::result).collect(),
+        runs: runs.iter().map(RunOutcome::result).collect(),
         ratios,
     }
 }
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/fault_steps.rs
@@ -11,11 +11,11 @@
 const DIVERSE: u32 = 10_000; // parts that one fault befalls at the most
 
 /// Which fault keeps a proxy from running: it goes on when none does any more.
-pub type Claim = u32;
+pub type FaultId = u32;
 
 #[derive(Clone, Debug)]
-pub enum Step {
-    Tell(String, Command),
+pub enum FaultStep {
+    SendCommand(String, Command),
     /// Ends a peer's own process outright, or has its thread act as if.
     KillBackend(String),
     StartBackend {
@@ -23,36 +23,36 @@
         moved: bool,
     },
     /// Ends a proxy, outright or by telling it to go.
-    Down {
+    StopProxy {
         proxy: String,
         kind: FaultKind,
-        claim: Claim,
+        fault_id: FaultId,
     },
     /// That claim is over: it starts anew with this list, unless another keeps it down.
-    Back {
+    RestartProxy {
         proxy: String,
-        claim: Claim,
+        fault_id: FaultId,
         known: KnownBackends,
     },
     /// Stops a proxy, for good or but for a part of its time.
-    Halt {
+    PauseProxy {
         proxy: String,
         share: f64,
-        claim: Claim,
+        fault_id: FaultId,
     },
-    GoOn {
+    ResumeProxy {
         proxy: String,
-        claim: Claim,
+        fault_id: FaultId,
     },
     /// A proxy belongs to the deployment from now on, or no longer.
-    Join {
+    AddProxy {
         proxy: String,
     },
-    Part {
+    RemoveProxy {
         proxy: String,
     },
     /// The agents' word on a backend.
-    Word {
+    SetHealth {
         tier: usize,
         n: usize,
         health: &'static str,
@@ -61,7 +61,7 @@
         tier: usize,
         n: usize,
     },
-    Say {
+    RecordFault {
         text: String,
         on: bool,
         kind: FaultKind,
@@ -73,7 +73,7 @@
 type When = (Micros, Option<Micros>);
 
 /// All that faults come to, in the order of time; they are numbered from `first` on.
-pub fn steps(scenario: &Scenario, faults: &[Fault], first: usize) -> Vec<(Micros, Step)> {
+pub fn steps(scenario: &Scenario, faults: &[Fault], first: usize) -> Vec<(Micros, FaultStep)> {
     let mut steps = Vec::new();
     for (number, fault) in faults.iter().enumerate() {
         let number = (first + number) as u32 * DIVERSE;
@@ -119,8 +119,13 @@
     steps
 }
 
-fn say(kind: FaultKind, (at, off): When, (text, part): (String, String), steps: &mut Vec<(Micros, Step)>) {
-    let word = |on| Step::Say { text: text.clone(), on, kind, part: part.clone() };
+fn say(
+    kind: FaultKind,
+    (at, off): When,
+    (text, part): (String, String),
+    steps: &mut Vec<(Micros, FaultStep)>,
+) {
+    let word = |on| FaultStep::RecordFault { text: text.clone(), on, kind, part: part.clone() };
     steps.push((at, word(true)));
     steps.extend(off.map(|off| (off, word(false))));
 }
@@ -131,7 +136,7 @@
     (at, off): When,
     number: u32,
     text: (String, String),
-    steps: &mut Vec<(Micros, Step)>,
+    steps: &mut Vec<(Micros, FaultStep)>,
 ) {
     // Checked with the scenario.
     let Ok((tier, pairs)) = scenario.network_paths(fault) else { return };
@@ -140,9 +145,12 @@
     let (kind, amount, jitter, chance) = (fault.kind, fault.amount, fault.jitter, fault.chance);
     let fault = peer_network::ActiveFault { kind, pairs, amount, jitter, chance };
     let begin = Command::PeerNetwork(peer_network::Command::Fault { number, fault });
-    steps.push((at, Step::Tell(name.clone(), begin)));
+    steps.push((at, FaultStep::SendCommand(name.clone(), begin)));
     steps.extend(off.map(|off| {
-        (off, Step::Tell(name, Command::PeerNetwork(peer_network::Command::ClearFault { number })))
+        (
+            off,
+            FaultStep::SendCommand(name, Command::PeerNetwork(peer_network::Command::ClearFault { number })),
+        )
     }));
 }
 
@@ -152,25 +160,25 @@
     (tier, n, name): (usize, usize, String),
     (at, off): When,
     number: u32,
-    steps: &mut Vec<(Micros, Step)>,
+    steps: &mut Vec<(Micros, FaultStep)>,
 ) {
     use FaultKind::*;
     let t = &scenario.tiers[tier];
-    let word = |health| Step::Word { tier, n, health };
+    let word = |health| FaultStep::SetHealth { tier, n, health };
     let mut push = |at, step| steps.push((at, step));
-    let agent = |command| Step::Tell(format!("{}/a", t.name), Command::Agent(command));
-    let (proxy, claim, known) = (name.clone(), number, fault.known);
+    let agent = |command| FaultStep::SendCommand(format!("{}/a", t.name), Command::Agent(command));
+    let (proxy, fault_id, known) = (name.clone(), number, fault.known);
     // Only agents, proxies and ways have these kinds in common with others.
     let letter = name.rsplit('/').next().and_then(|rest| rest.chars().next()).unwrap_or('s');
     match fault.kind {
         Crash => {
-            push(at, Step::KillBackend(name.clone()));
+            push(at, FaultStep::KillBackend(name.clone()));
             let noticed = at + NOTICE;
             if off.is_none_or(|off| off > noticed) {
                 push(noticed, word("Gone"));
             }
             if let Some(off) = off {
-                push(off, Step::StartBackend { name, moved: fault.moves });
+                push(off, FaultStep::StartBackend { name, moved: fault.moves });
                 push(off + COMING, word("Ready"));
             }
         }
@@ -178,14 +186,17 @@
             push(at, word("Terminating"));
             // Its own door shuts once the word and the grace are surely past.
             let shut = at + t.lag + t.drain_grace + Micros::from_millis(100);
-            push(shut, Step::Tell(name.clone(), Command::Backend(backend::Command::Drain)));
+            push(shut, FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Drain)));
             if !fault.stays {
-                push(shut, Step::Tell(name.clone(), Command::Backend(backend::Command::Shutdown)));
+                push(
+                    shut,
+                    FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Shutdown)),
+                );
             }
             let back = off.map(|off| off.max(shut + Micros::from_millis(300)));
             push(back.unwrap_or(shut + Micros::from_millis(300)), word("Gone"));
             if let Some(back) = back {
-                push(back, Step::StartBackend { name, moved: fault.moves });
+                push(back, FaultStep::StartBackend { name, moved: fault.moves });
                 push(back + COMING, word("Ready"));
             }
         }
@@ -210,41 +221,41 @@
             }
         }
         JumpBack => push(at, agent(agent::Command::JumpBack { by: fault.amount.unwrap_or(500.0) as u64 })),
-        Move => push(at, Step::MoveAgent { tier, n }),
+        Move => push(at, FaultStep::MoveAgent { tier, n }),
         Reset | Close | HalfOpen | BlackHole | Delay => {
             let (kind, amount, direction) = (fault.kind, fault.amount, fault.direction);
             let cut = relay::Command::Fault { kind, amount, direction };
-            push(at, Step::Tell(name.clone(), Command::Relay(cut)));
+            push(at, FaultStep::SendCommand(name.clone(), Command::Relay(cut)));
             let over = off.unwrap_or(at + Micros::from_millis(1));
-            push(over, Step::Tell(name, Command::Relay(relay::Command::ClearFault { kind })));
+            push(over, FaultStep::SendCommand(name, Command::Relay(relay::Command::ClearFault { kind })));
         }
-        Herd => push(at, Step::Tell(name, Command::Clients(clients::Command::Herd))),
+        Herd => push(at, FaultStep::SendCommand(name, Command::Clients(clients::Command::Herd))),
         Kill | Term => {
-            push(at, Step::Down { proxy: name, kind: fault.kind, claim });
-            push(off.unwrap_or(at + BACK), Step::Back { proxy, claim, known });
+            push(at, FaultStep::StopProxy { proxy: name, kind: fault.kind, fault_id });
+            push(off.unwrap_or(at + BACK), FaultStep::RestartProxy { proxy, fault_id, known });
         }
         // It starts anew once it has ended, however soon that is.
         Restart => {
-            push(at, Step::Down { proxy: name, kind: fault.kind, claim });
-            push(off.unwrap_or(at), Step::Back { proxy, claim, known });
+            push(at, FaultStep::StopProxy { proxy: name, kind: fault.kind, fault_id });
+            push(off.unwrap_or(at), FaultStep::RestartProxy { proxy, fault_id, known });
         }
         Freeze => {
-            push(at, Step::Halt { proxy: name, share: 0.0, claim });
-            push(off.unwrap_or(at + BACK), Step::GoOn { proxy, claim });
+            push(at, FaultStep::PauseProxy { proxy: name, share: 0.0, fault_id });
+            push(off.unwrap_or(at + BACK), FaultStep::ResumeProxy { proxy, fault_id });
         }
         Slow if letter == 'p' => {
-            push(at, Step::Halt { proxy: name, share: fault.amount.unwrap_or(0.5), claim });
+            push(at, FaultStep::PauseProxy { proxy: name, share: fault.amount.unwrap_or(0.5), fault_id });
             if let Some(off) = off {
-                push(off, Step::GoOn { proxy, claim });
+                push(off, FaultStep::ResumeProxy { proxy, fault_id });
             }
         }
         Grow | Shrink => {
             let grows = fault.kind == Grow;
             let step = |joins| {
                 if joins {
-                    Step::Join { proxy: name.clone() }
+                    FaultStep::AddProxy { proxy: name.clone() }
                 } else {
-                    Step::Part { proxy: name.clone() }
+                    FaultStep::RemoveProxy { proxy: name.clone() }
                 }
             };
             push(at, step(grows));
@@ -256,9 +267,12 @@
             let fault =
                 backend::ActiveFault { kind, amount: fault.amount, chance: fault.chance, nth: fault.nth };
             let command = backend::Command::Fault { number, fault };
-            push(at, Step::Tell(name.clone(), Command::Backend(command)));
+            push(at, FaultStep::SendCommand(name.clone(), Command::Backend(command)));
             if let Some(off) = off {
-                push(off, Step::Tell(name, Command::Backend(backend::Command::ClearFault { number })));
+                push(
+                    off,
+                    FaultStep::SendCommand(name, Command::Backend(backend::Command::ClearFault { number })),
+                );
             }
         }
     }
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/fleet_figures.rs
@@ -5,9 +5,9 @@
 
 use crate::clock::{At, Micros};
 use crate::figures::FleetFigures;
-use crate::record::{Record, What};
+use crate::record::{Record, RecordKind};
 use crate::scenario::{Scenario, Tier};
-use crate::{tenures, views};
+use crate::{duty_figures, membership_figures};
 
 /// While a backend is newly dead, its proxies may still be finding out.
 pub const FINDING_OUT: Micros = Micros::from_millis(6000);
@@ -26,7 +26,7 @@
 pub fn dead(records: &[Record], end: At) -> Spans {
     let mut spans = Spans::new();
     for record in records {
-        let What::Fault { on, fault: Some(fault), befalls, .. } = &record.what else { continue };
+        let RecordKind::Fault { on, fault: Some(fault), befalls, .. } = &record.kind else { continue };
         if !fault.prevents_responses() {
             continue;
         }
@@ -42,9 +42,9 @@
 
 /// Whether a request reached, or a connection was refused by, a backend that is dead, and which.
 pub fn at_dead(record: &Record, dead: &Spans) -> Option<String> {
-    let host = match &record.what {
-        What::Arrived { .. } => record.part.clone(),
-        What::NotUp => record.part.replacen("/l-", "/s-", 1),
+    let host = match &record.kind {
+        RecordKind::Arrived { .. } => record.component.clone(),
+        RecordKind::ConnectFailed => record.component.replacen("/l-", "/s-", 1),
         _ => return None,
     };
     let within = dead.get(&host)?.iter().any(|(from, to)| *from <= record.t && record.t < *to);
@@ -104,7 +104,7 @@
     let end = start + scenario.duration;
     let mut by: BTreeMap<&str, &str> = BTreeMap::new();
     for record in records {
-        if let What::Sent { id, to, .. } | What::Called { id, to, .. } = &record.what {
+        if let RecordKind::Sent { id, to, .. } | RecordKind::CallSent { id, to, .. } = &record.kind {
             by.insert(id, to);
         }
     }
@@ -114,14 +114,14 @@
     let mut away: BTreeSet<&str> = BTreeSet::new();
     for record in records {
         let (t, before) = (record.t, on.values().sum::<i32>() as usize + away.len());
-        match &record.what {
-            What::Arrived { id, .. } => {
+        match &record.kind {
+            RecordKind::Arrived { id, .. } => {
                 if let Some(proxy) = by.get(id.as_str()).filter(|_| t < end) {
-                    g.forwards.push((t, proxy, &record.part));
+                    g.forwards.push((t, proxy, &record.component));
                 }
             }
-            What::Over { due, honoured, .. } => g.overs.push((*due, *honoured)),
-            What::Fault { on: begins, fault, befalls, text } => {
+            RecordKind::IntentFinished { due, honoured, .. } => g.overs.push((*due, *honoured)),
+            RecordKind::Fault { on: begins, fault, befalls, text } => {
                 g.befallen.insert(befalls);
                 if *begins {
                     g.first_fault.get_or_insert(t);
@@ -131,17 +131,17 @@
                     g.moves.push((t, befalls));
                 }
             }
-            What::ProxyDown { proxy, how } => {
+            RecordKind::ProxyDown { proxy, how } => {
                 g.befallen.insert(proxy);
                 if how != "shrink" {
                     away.insert(proxy);
                 }
             }
-            What::ProxyUp { proxy } if t > start => {
+            RecordKind::ProxyUp { proxy } if t > start => {
                 g.befallen.insert(proxy);
                 away.remove(proxy.as_str());
             }
-            What::Stopped { .. } if t < end => drop(g.befallen.insert(&record.part)),
+            RecordKind::Stopped { .. } if t < end => drop(g.befallen.insert(&record.component)),
             _ => {}
         }
         // What lasts for ever is part of how things are: it keeps nobody from being back.
@@ -239,7 +239,7 @@
     fn proxy_spread(&self, records: &[Record]) -> f64 {
         let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
         for record in records {
-            if let What::Sent { to, .. } = &record.what {
+            if let RecordKind::Sent { to, .. } = &record.kind {
                 *counts.entry(to).or_default() += 1;
             }
         }
@@ -250,7 +250,7 @@
 }
 
 /// All facts of a run that began at `start`.
-pub fn facts(records: &[Record], scenario: &Scenario, start: At) -> FleetFigures {
+pub fn compute(records: &[Record], scenario: &Scenario, start: At) -> FleetFigures {
     let end = start + scenario.duration;
     let mut f = FleetFigures::default();
     let dead = dead(records, end);
@@ -264,16 +264,18 @@
         if let Some(host) = at_dead(record, &dead) {
             at_deads.entry(host).or_default().push(record.t);
         }
-        match &record.what {
-            What::Arrived { .. } => offered.entry(&record.part).or_default().push(record.t),
-            What::Started { warm: false, .. } => starts.push((&record.part, record.t)),
-            What::Stopped { .. } => stops.push((&record.part, record.t)),
-            What::Talk { proxy, sent, bytes, .. } => {
+        match &record.kind {
+            RecordKind::Arrived { .. } => offered.entry(&record.component).or_default().push(record.t),
+            RecordKind::Started { warm: false, .. } => starts.push((&record.component, record.t)),
+            RecordKind::Stopped { .. } => stops.push((&record.component, record.t)),
+            RecordKind::PeerTraffic { proxy, sent, bytes, .. } => {
                 let own = talk.entry(proxy).or_default();
                 *own = (own.0 + sent, own.1 + bytes);
                 *late_talk.entry(proxy).or_default() += if record.t >= half { *bytes } else { 0 };
             }
-            What::Used { cpu_us, memory, wakeups, descriptors, over_us, .. } if *over_us > 0 => {
+            RecordKind::ResourceUsage { cpu_us, memory, wakeups, descriptors, over_us, .. }
+                if *over_us > 0 =>
+            {
                 let seconds = (*over_us as f64 / 1e6).max(1.0);
                 proxies += 1;
                 cpu_ms += *cpu_us as f64 / 1000.0 / seconds;
@@ -315,8 +317,8 @@
     let count = proxies.max(1) as f64;
     (f.proxy_cpu_ms, f.proxy_wakeups) = (cpu_ms / count, woken / count);
     (f.proxy_mib, f.proxy_descriptors) = (cost.0 / count, cost.1);
-    views::fill(records, (start, end), &mut f);
-    tenures::fill(records, end, &mut f);
+    membership_figures::fill(records, (start, end), &mut f);
+    duty_figures::fill(records, end, &mut f);
     let gathered = gather(records, scenario, start);
     (f.moved, f.moved_calm) = gathered.moved();
     f.backend_spread = gathered.backend_spread();
--- a/crates/lab/src/fleet_poller.rs
+++ b/crates/lab/src/fleet_poller.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use crate::clock::{At, Micros};
-use crate::record::{Recorder, What};
+use crate::record::{RecordKind, Recorder};
 
 const PATIENCE: Duration = Duration::from_millis(100); // one that is stopped answers nothing
 
@@ -51,7 +51,7 @@
     }
 }
 
-fn view(proxy: &str, address: SocketAddr, asked: At) -> Option<Vec<What>> {
+fn view(proxy: &str, address: SocketAddr, asked: At) -> Option<Vec<RecordKind>> {
     let mut stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     stream.write_all(b"GET /fleet HTTP/1.1\r\nHost: lab\r\n\r\n").ok()?;
@@ -69,8 +69,13 @@
     let duties = json["duties"].as_array().into_iter().flatten();
     let held = duties.filter(|duty| duty["held_here"] == true).filter_map(|duty| {
         let (duty, term) = (duty["name"].as_str()?.to_string(), duty["term"].as_u64()?);
-        Some(What::Duty { proxy: proxy.to_string(), duty, term, took })
+        Some(RecordKind::DutyHeld { proxy: proxy.to_string(), duty, term, took })
     });
-    let view = What::View { proxy: proxy.to_string(), there, dead, counted: json["counted"].as_u64()? };
+    let view = RecordKind::MembershipView {
+        proxy: proxy.to_string(),
+        there,
+        dead,
+        counted: json["counted"].as_u64()?,
+    };
     Some(std::iter::once(view).chain(held).collect())
 }
--- a/crates/lab/src/views.rs
+++ b/crates/lab/src/membership_figures.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::{At, Micros};
 use crate::figures::FleetFigures;
-use crate::record::{Record, What};
+use crate::record::{Record, RecordKind};
 use crate::scenario::FaultKind;
 
 /// After what befell it, a proxy may still be held dead for so long.
@@ -30,8 +30,8 @@
     let mut lives = Lives::default();
     for record in records {
         let t = record.t;
-        match &record.what {
-            What::ProxyDown { proxy, how } => {
+        match &record.kind {
+            RecordKind::ProxyDown { proxy, how } => {
                 lives.away.entry(proxy.clone()).or_default().push((t, end));
                 if how != "freeze" && !how.starts_with("slow") {
                     lives.gone.push((proxy.clone(), t, how == "kill"));
@@ -39,14 +39,14 @@
                 }
                 lives.last_change = t;
             }
-            What::ProxyUp { proxy } => {
+            RecordKind::ProxyUp { proxy } => {
                 let open = lives.away.get_mut(proxy).into_iter().flatten().filter(|(_, to)| *to == end);
                 open.for_each(|span| span.1 = t);
                 lives.up.insert(proxy.clone());
                 lives.comings.push(t);
                 lives.last_change = t;
             }
-            What::Fault { on, fault: Some(fault), .. } if fault.component_kinds().contains('w') => {
+            RecordKind::Fault { on, fault: Some(fault), .. } if fault.component_kinds().contains('w') => {
                 match lives.ways.last_mut().filter(|(_, to)| !*on && *to == end) {
                     Some(last) => last.1 = t,
                     None if *on && *fault != FaultKind::Delay => lives.ways.push((t, end)),
@@ -71,7 +71,7 @@
     let lives = lives(records, end);
     let mut views: BTreeMap<&str, Views> = BTreeMap::new();
     for record in records {
-        if let What::View { proxy, there, dead, counted } = &record.what {
+        if let RecordKind::MembershipView { proxy, there, dead, counted } = &record.kind {
             views.entry(proxy).or_default().push((record.t, there, dead, *counted));
         }
     }
@@ -139,8 +139,8 @@
 /// Whether the ways only ever lost, held up or garbled some: that is no reason to hold anybody dead.
 fn only_loses(records: &[Record]) -> bool {
     let parts = |record: &Record| {
-        let what = &record.what;
-        matches!(what, What::Fault { fault: Some(FaultKind::Partition | FaultKind::Bridge), .. })
+        let what = &record.kind;
+        matches!(what, RecordKind::Fault { fault: Some(FaultKind::Partition | FaultKind::Bridge), .. })
     };
     !records.iter().any(parts)
 }
--- a/crates/lab/src/peer_network.rs
+++ b/crates/lab/src/peer_network.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::{At, Micros};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId, SocketId};
-use crate::record::What;
+use crate::record::RecordKind;
 use crate::scenario::{FaultKind, Fleet};
 use crate::stream_forwarder::{PathMode, PathState, Release, StreamForwarder};
 
@@ -275,7 +275,12 @@
         for (endpoint, count) in self.spec.endpoints.iter().zip(&mut self.traffic) {
             let TrafficCount { sent, bytes, lost } = std::mem::take(count);
             if sent > 0 {
-                event_loop.record(What::Talk { proxy: endpoint.proxy.clone(), sent, bytes, lost });
+                event_loop.record(RecordKind::PeerTraffic {
+                    proxy: endpoint.proxy.clone(),
+                    sent,
+                    bytes,
+                    lost,
+                });
             }
         }
     }
@@ -410,12 +415,12 @@
         let (lateness, _) = event_loop.timer_lateness();
         if lateness > MAX_TIMER_LATENESS {
             let text = format!("the ways between proxies ran {:.1} ms late (p99) themselves", lateness.ms());
-            event_loop.record(What::Void { text });
+            event_loop.record(RecordKind::RunInvalid { text });
         }
         if self.unknown_senders > 0 {
             let text =
                 format!("{} messages came between proxies from nobody that is known", self.unknown_senders);
-            event_loop.record(What::Note { text });
+            event_loop.record(RecordKind::Note { text });
         }
     }
 }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -14,10 +14,10 @@
 use crate::balancer;
 use crate::clock::{At, Micros};
 use crate::component::Command;
-use crate::ledger::SLOW_TURN;
-use crate::record::What;
+use crate::fault_steps::FaultId;
+use crate::record::RecordKind;
+use crate::rules::SLOW_PROXY_PERIOD;
 use crate::scenario::KnownBackends;
-use crate::timeline::Claim;
 
 /// For a proxy to come up.
 pub const READY: Micros = Micros::from_millis(10_000);
@@ -52,9 +52,9 @@
     /// The list that its next life finds in its file.
     pub known: KnownBackends,
     /// Faults that keep it down.
-    pub downs: BTreeSet<Claim>,
+    pub downs: BTreeSet<FaultId>,
     /// Faults that keep it from running but for a part of its time.
-    halts: BTreeMap<Claim, f64>,
+    halts: BTreeMap<FaultId, f64>,
     halted: bool,
     asked: At,
     used: Used,
@@ -125,27 +125,28 @@
     }
 
     /// Stops it but for a part of its time; tells what to record, if it runs at all.
-    pub fn halt(&mut self, claim: Claim, share: f64) -> Option<What> {
+    pub fn halt(&mut self, fault_id: FaultId, share: f64) -> Option<RecordKind> {
         if !self.is_running() {
             return None;
         }
-        self.halts.insert(claim, share);
+        self.halts.insert(fault_id, share);
         let how = if share > 0.0 { format!("slow {share}") } else { "freeze".to_string() };
         self.run_in_turns(At::now());
-        Some(What::ProxyDown { proxy: self.name.clone(), how })
+        Some(RecordKind::ProxyDown { proxy: self.name.clone(), how })
     }
 
     /// Ends a stop; tells what to record if none is left.
-    pub fn go_on(&mut self, claim: Claim) -> Option<What> {
-        self.halts.remove(&claim)?;
+    pub fn go_on(&mut self, fault_id: FaultId) -> Option<RecordKind> {
+        self.halts.remove(&fault_id)?;
         self.run_in_turns(At::now());
-        (self.halts.is_empty() && self.life == Life::Up).then(|| What::ProxyUp { proxy: self.name.clone() })
+        (self.halts.is_empty() && self.life == Life::Up)
+            .then(|| RecordKind::ProxyUp { proxy: self.name.clone() })
     }
 
     /// Stops it or lets it go, as its part of the time has it.
     pub fn run_in_turns(&mut self, now: At) {
         let share = self.halts.values().copied().fold(1.0, f64::min);
-        let part = now.0.rem_euclid(SLOW_TURN.0) as f64 / SLOW_TURN.0 as f64;
+        let part = now.0.rem_euclid(SLOW_PROXY_PERIOD.0) as f64 / SLOW_PROXY_PERIOD.0 as f64;
         let stop = part >= share && !self.halts.is_empty();
         if stop != self.halted {
             self.halted = stop;
@@ -220,10 +221,10 @@
     }
 
     /// What it has used since, if it is there.
-    pub fn usage(&self) -> Option<What> {
+    pub fn usage(&self) -> Option<RecordKind> {
         let (before, now) = (self.used, self.uses());
         self.child.as_ref()?;
-        Some(What::Used {
+        Some(RecordKind::ResourceUsage {
             proxy: self.name.clone(),
             cpu_us: now.cpu_ns.saturating_sub(before.cpu_ns) / 1000,
             memory_before: before.memory,
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -14,14 +14,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     pub t: At,
-    pub part: String,
+    #[serde(rename = "part")]
+    pub component: String,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: RecordKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
+pub enum RecordKind {
     /// A client wrote the last byte of a request. `due` is when it meant to send the first try.
     Sent {
         id: String,
@@ -33,17 +34,20 @@
         try_no: u16,
     },
     /// The same request again, since its kept connection was closed before anything of an answer came.
-    SentAgain {
+    #[serde(rename = "sent_again")]
+    Resent {
         id: String,
     },
     /// A whole answer came.
-    Answered {
+    #[serde(rename = "answered")]
+    ResponseReceived {
         id: String,
         status: u16,
         retry_after_ms: Option<f64>,
     },
     /// The connection ended with no whole answer.
-    Lost {
+    #[serde(rename = "lost")]
+    ConnectionLost {
         id: String,
         how: String,
     },
@@ -53,17 +57,20 @@
         own: bool,
     },
     /// The request never went out whole.
-    NotTaken {
+    #[serde(rename = "not_taken")]
+    SendIncomplete {
         id: String,
         why: String,
     },
     /// Bytes came that no request asked for.
-    Unasked {
+    #[serde(rename = "unasked")]
+    UnsolicitedBytes {
         id: String,
         bytes: usize,
     },
     /// An intent of a client is over, with or without an answer that counts.
-    Over {
+    #[serde(rename = "over")]
+    IntentFinished {
         intent: u64,
         class: String,
         due: At,
@@ -85,24 +92,28 @@
         first: At,
         class: String,
     },
-    Began {
+    #[serde(rename = "began")]
+    ProcessingStarted {
         id: String,
     },
     Refused {
         id: String,
         why: String,
     },
-    Done {
+    #[serde(rename = "done")]
+    Finished {
         id: String,
         status: u16,
     },
     /// Its caller went away before it ended.
-    Dropped {
+    #[serde(rename = "dropped")]
+    CallerGone {
         id: String,
         began: bool,
     },
     /// A backend calls the next tier, through a proxy.
-    Called {
+    #[serde(rename = "called")]
+    CallSent {
         id: String,
         by: String,
         to: String,
@@ -113,13 +124,15 @@
         status: u16,
     },
     /// It was pushed over while cold.
-    Fell {
+    #[serde(rename = "fell")]
+    Overloaded {
         offered: f64,
         bearable: f64,
     },
 
     /// An agent has for a proxy, or wrote to it, what became of a backend: either counts as told.
-    Told {
+    #[serde(rename = "told")]
+    HealthReported {
         proxy: String,
         host: String,
         health: String,
@@ -131,7 +144,8 @@
         link: String,
         how: String,
     },
-    Healed {
+    #[serde(rename = "healed")]
+    Restored {
         link: String,
     },
     /// A proxy's process.
@@ -152,40 +166,47 @@
         befalls: String,
     },
     /// A connection through a link did not come up on its far side.
-    NotUp,
+    #[serde(rename = "not_up")]
+    ConnectFailed,
     /// What a proxy sent to others since it was last told of, and what of that was lost on the way.
-    Talk {
+    #[serde(rename = "talk")]
+    PeerTraffic {
         proxy: String,
         sent: u64,
         bytes: u64,
         lost: u64,
     },
     /// Whom a proxy sees there, itself included, whom it holds dead, and by how many it divides.
-    View {
+    #[serde(rename = "view")]
+    MembershipView {
         proxy: String,
         there: Vec<String>,
         dead: Vec<String>,
         counted: u64,
     },
     /// A proxy says that it holds a duty; the answer took so long, in microseconds.
-    Duty {
+    #[serde(rename = "duty")]
+    DutyHeld {
         proxy: String,
         duty: String,
         term: u64,
         took: i64,
     },
     /// A tier's way between proxies ran so late itself that the run tells nothing.
-    Void {
+    #[serde(rename = "void")]
+    RunInvalid {
         text: String,
     },
     /// The lab's own lateness: how much later than meant its timers ran.
-    Late {
+    #[serde(rename = "late")]
+    TimerLateness {
         p99_us: i64,
         max_us: i64,
     },
     /// What a proxy used of the processor under load, in microseconds, and what of the memory was its own before
     /// the load and after it, in bytes.
-    Used {
+    #[serde(rename = "used")]
+    ResourceUsage {
         proxy: String,
         cpu_us: u64,
         memory_before: u64,
@@ -199,7 +220,8 @@
         descriptors: u64,
     },
     /// So many connections stand idle from here on.
-    Idle {
+    #[serde(rename = "idle")]
+    IdleConnections {
         open: usize,
         refused: usize,
     },
@@ -208,18 +230,23 @@
     },
 }
 
-impl What {
+impl RecordKind {
     /// The request that it speaks of.
     pub fn id(&self) -> Option<&str> {
-        use What::*;
+        use RecordKind::*;
         match self {
             Sent { id, .. }
-            | SentAgain { id }
-            | Answered { id, .. }
-            | Lost { id, .. }
+            | Resent { id }
+            | ResponseReceived { id, .. }
+            | ConnectionLost { id, .. }
             | GaveUp { id, .. } => Some(id),
-            NotTaken { id, .. } | Unasked { id, .. } | Arrived { id, .. } | Began { id } => Some(id),
-            Refused { id, .. } | Done { id, .. } | Dropped { id, .. } | Called { id, .. } => Some(id),
+            SendIncomplete { id, .. }
+            | UnsolicitedBytes { id, .. }
+            | Arrived { id, .. }
+            | ProcessingStarted { id } => Some(id),
+            Refused { id, .. } | Finished { id, .. } | CallerGone { id, .. } | CallSent { id, .. } => {
+                Some(id)
+            }
             CallEnded { id, .. } => Some(id),
             _ => None,
         }
@@ -243,8 +270,8 @@
         Recorder { file: self.file.clone(), part: part.to_string() }
     }
 
-    pub fn write(&self, t: At, what: What) {
-        let record = Record { t, part: self.part.clone(), what };
+    pub fn write(&self, t: At, what: RecordKind) {
+        let record = Record { t, component: self.part.clone(), kind: what };
         let Ok(mut line) = serde_json::to_vec(&record) else { return };
         line.push(b'\n');
         // One call a record: lines of several writers do not mix in an appended file.
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Micros;
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
-use crate::record::What;
+use crate::record::RecordKind;
 use crate::scenario::{Direction, FaultKind, Link};
 use crate::stream_forwarder::{PathMode, PathState, Release, StreamForwarder};
 
@@ -105,7 +105,7 @@
 
     fn on_accept(&mut self, event_loop: &mut Loop, _listener: ListenerId, conn: ConnId) {
         let Ok(other) = event_loop.connect(self.spec.to) else {
-            event_loop.record(What::NotUp);
+            event_loop.record(RecordKind::ConnectFailed);
             return event_loop.reset(conn);
         };
         self.streams.add_pair((conn, Direction::Forth), (other, Direction::Back));
@@ -124,7 +124,7 @@
     fn on_close(&mut self, event_loop: &mut Loop, conn: ConnId, how: ConnectionEnd) {
         let Some(direction) = self.streams.tag(conn) else { return event_loop.close(conn) };
         if how == ConnectionEnd::Refused {
-            event_loop.record(What::NotUp);
+            event_loop.record(RecordKind::ConnectFailed);
         }
         match how {
             ConnectionEnd::Closed => self.receive(event_loop, conn, true),
@@ -147,7 +147,7 @@
                     "{kind:?}{}",
                     direction.map_or(String::new(), |direction| format!(" {direction:?}"))
                 );
-                event_loop.record(What::Cut { link, how });
+                event_loop.record(RecordKind::Cut { link, how });
                 match kind {
                     FaultKind::Reset | FaultKind::Close => {
                         self.close_all(event_loop, kind == FaultKind::Reset);
@@ -167,7 +167,7 @@
                 }
             }
             Command::ClearFault { kind } => {
-                event_loop.record(What::Healed { link });
+                event_loop.record(RecordKind::Restored { link });
                 match kind {
                     FaultKind::Delay => self.extra_delay = Micros::ZERO,
                     FaultKind::BlackHole => {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -6,10 +6,10 @@
 use plotters::prelude::*;
 
 use crate::clock::{At, Micros};
-use crate::experiment::{Results, Run};
-use crate::outcome::{self, Slice, SLICES};
-use crate::record::{self, Record, What};
+use crate::experiment::{Results, RunOutcome};
+use crate::record::{self, Record, RecordKind};
 use crate::run;
+use crate::run_figures::{self, Slice, SLICES};
 use crate::scenario_file::ScenarioFile;
 
 /// What is drawn of one run.
@@ -25,8 +25,9 @@
     text: String,
 }
 
-pub fn pictures(runs: &[Run]) -> Result<Vec<Picture>, String> {
-    let picture = |run: &Run| picture(&run.variant, run.seed, &run.ran.dir, run.ran.start, run.ran.duration);
+pub fn pictures(runs: &[RunOutcome]) -> Result<Vec<Picture>, String> {
+    let picture =
+        |run: &RunOutcome| picture(&run.variant, run.seed, &run.ran.dir, run.ran.start, run.ran.duration);
     runs.iter().map(picture).collect()
 }
 
@@ -37,8 +38,8 @@
     let one = |run: &crate::experiment::RunResult| {
         let dir = run::run_dir(out, &run.variant, run.seed);
         let records = record::read(&run::records_path(&dir))?;
-        let first = records.iter().find_map(|r| match &r.what {
-            What::Sent { due, .. } => Some(*due),
+        let first = records.iter().find_map(|r| match &r.kind {
+            RecordKind::Sent { due, .. } => Some(*due),
             _ => None,
         });
         picture(&run.variant, run.seed, &dir, first.unwrap_or_default(), lasts)
@@ -48,7 +49,7 @@
 
 fn picture(variant: &str, seed: u64, dir: &Path, start: At, lasts: Micros) -> Result<Picture, String> {
     let records = record::read(&run::records_path(dir))?;
-    let slices = outcome::slices(&records, start, lasts);
+    let slices = run_figures::slices(&records, start, lasts);
     let bands = bands(&records, start, lasts);
     let seconds = lasts.secs();
     let rate = SLICES as f64 / seconds;
@@ -106,11 +107,11 @@
     let mut bands: Vec<Band> = Vec::new();
     let second = |t: At| (t.0 - start.0) as f64 / 1e6;
     for record in records {
-        match &record.what {
-            What::Fault { text, on: true, .. } => {
+        match &record.kind {
+            RecordKind::Fault { text, on: true, .. } => {
                 bands.push(Band { from: second(record.t), to: f64::NAN, text: text.clone() });
             }
-            What::Fault { text, on: false, .. } => {
+            RecordKind::Fault { text, on: false, .. } => {
                 let open = bands.iter_mut().find(|band| band.to.is_nan() && band.text == *text);
                 if let Some(band) = open {
                     band.to = second(record.t);
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/rules.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::clock::{At, Micros};
-use crate::facts;
-use crate::record::{Record, What};
+use crate::fleet_figures;
+use crate::record::{Record, RecordKind};
 use crate::scenario::{Effect, Group, Scenario, Tier};
 
 /// The rules' own allowance on sockets, on top of which comes what the lab itself was late by.
@@ -15,32 +15,33 @@
 /// Beyond this lateness of its own the lab's judgement of times is not to be trusted.
 const TOO_LATE: Micros = Micros::from_millis(40);
 /// How long a turn of a slowed proxy is, stopped and running.
-pub const SLOW_TURN: Micros = Micros::from_millis(200);
+pub const SLOW_PROXY_PERIOD: Micros = Micros::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Each taken request has one final answer before its cut-off, and nothing after.
-    OneAnswer,
+    OneResponse,
     /// What may run only once runs once, and never after it was turned back.
-    OneEffect,
+    OneExecution,
     /// Nothing new goes to a backend once its drain was told, past the grace.
-    Drains,
+    DrainGrace,
     /// No cold backend is pushed over.
-    Cold,
+    SlowStart,
     /// A proxy's process ended without being told to.
-    Alive,
+    NoCrash,
 }
 
 impl Rule {
-    pub const ALL: [Rule; 5] = [Rule::OneAnswer, Rule::OneEffect, Rule::Drains, Rule::Cold, Rule::Alive];
+    pub const ALL: [Rule; 5] =
+        [Rule::OneResponse, Rule::OneExecution, Rule::DrainGrace, Rule::SlowStart, Rule::NoCrash];
 
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneAnswer => "one answer",
-            Rule::OneEffect => "one effect",
-            Rule::Drains => "drains kept",
-            Rule::Cold => "cold spared",
-            Rule::Alive => "no crash",
+            Rule::OneResponse => "one answer",
+            Rule::OneExecution => "one effect",
+            Rule::DrainGrace => "drains kept",
+            Rule::SlowStart => "cold spared",
+            Rule::NoCrash => "no crash",
         }
     }
 }
@@ -137,47 +138,49 @@
     }
 
     fn enter(&mut self, record: &Record) {
-        let Record { t, part, what } = record;
+        let Record { t, component: part, kind: what } = record;
         let t = *t;
         self.end = self.end.max(t);
         match what {
-            What::Sent { id, class, to, cut_off, .. } => {
+            RecordKind::Sent { id, class, to, cut_off, .. } => {
                 let e = self.request(id);
                 (e.class, e.to, e.sent, e.cut_off, e.taken) = (class.clone(), to.clone(), t, *cut_off, true);
             }
-            What::Called { id, to, cut_off, .. } => {
+            RecordKind::CallSent { id, to, cut_off, .. } => {
                 let (class, part) = (id.clone(), part.clone());
                 let e = self.request(id);
                 (e.class, e.to, e.sent, e.cut_off) = (class, to.clone(), t, *cut_off);
                 (e.caller, e.taken) = (Some(part), true);
             }
-            What::Answered { id, status, .. } => self.request(id).answers.push((t, *status)),
-            What::CallEnded { id, status: 0 } => {
+            RecordKind::ResponseReceived { id, status, .. } => self.request(id).answers.push((t, *status)),
+            RecordKind::CallEnded { id, status: 0 } => {
                 self.request(id).lost = Some((t, "a call's end".to_string()))
             }
-            What::CallEnded { id, status } => self.request(id).answers.push((t, *status)),
-            What::Lost { id, how } => self.request(id).lost = Some((t, how.clone())),
-            What::GaveUp { id, own } => self.request(id).gave_up = Some((t, *own)),
-            What::Unasked { id, .. } if !id.is_empty() => self.request(id).unasked = true,
-            What::Unasked { .. } => {
+            RecordKind::CallEnded { id, status } => self.request(id).answers.push((t, *status)),
+            RecordKind::ConnectionLost { id, how } => self.request(id).lost = Some((t, how.clone())),
+            RecordKind::GaveUp { id, own } => self.request(id).gave_up = Some((t, *own)),
+            RecordKind::UnsolicitedBytes { id, .. } if !id.is_empty() => self.request(id).unasked = true,
+            RecordKind::UnsolicitedBytes { .. } => {
                 // On a kept connection after its last answer: of no request any more, but never allowed.
                 let e = self.request(&format!("unasked at {}", t.0));
                 (e.unasked, e.sent) = (true, t);
             }
-            What::SentAgain { id } => self.request(id).taken = false,
-            What::NotTaken { id, .. } => self.request(id).taken = false,
-            What::Began { id } => self.begun.entry(id.clone()).or_default().push((t, part.clone())),
-            What::Arrived { id, first, .. } => {
+            RecordKind::Resent { id } => self.request(id).taken = false,
+            RecordKind::SendIncomplete { id, .. } => self.request(id).taken = false,
+            RecordKind::ProcessingStarted { id } => {
+                self.begun.entry(id.clone()).or_default().push((t, part.clone()))
+            }
+            RecordKind::Arrived { id, first, .. } => {
                 self.arrived.entry(id.clone()).or_default().push((*first, part.clone()));
                 self.offered.entry(part.clone()).or_default().push(t);
             }
-            What::Dropped { id, .. } => drop(self.dropped.insert(id.clone())),
-            What::Told { proxy, host, health, .. } => {
+            RecordKind::CallerGone { id, .. } => drop(self.dropped.insert(id.clone())),
+            RecordKind::HealthReported { proxy, host, health, .. } => {
                 let told = self.told.entry((proxy.clone(), host.clone())).or_default();
                 told.push((t, health == "Ready"));
                 self.has.insert((proxy.clone(), host.clone()), health == "Ready");
             }
-            What::ProxyDown { proxy, how } => {
+            RecordKind::ProxyDown { proxy, how } => {
                 open(&mut self.downs, proxy, t, how);
                 // A new life knows nothing yet.
                 if how != "freeze" && !how.starts_with("slow") {
@@ -187,7 +190,7 @@
                         .for_each(|(_, told)| told.push((t, true)));
                 }
             }
-            What::ProxyUp { proxy } => {
+            RecordKind::ProxyUp { proxy } => {
                 let anew = self.downs.get(proxy).and_then(|spans| spans.last());
                 if anew.is_some_and(|(_, _, how)| how != "freeze" && !how.starts_with("slow")) {
                     for ((_, host), ready) in self.has.iter().filter(|((p, _), _)| p == proxy) {
@@ -197,10 +200,10 @@
                 }
                 shut(&mut self.downs, proxy, t);
             }
-            What::Cut { link, how } => open(&mut self.cuts, link, t, how),
-            What::Healed { link } => shut(&mut self.cuts, link, t),
-            What::Started { warm, .. } => self.starts.entry(part.clone()).or_default().push((t, *warm)),
-            What::Stopped { .. } => self.stops.entry(part.clone()).or_default().push(t),
+            RecordKind::Cut { link, how } => open(&mut self.cuts, link, t, how),
+            RecordKind::Restored { link } => shut(&mut self.cuts, link, t),
+            RecordKind::Started { warm, .. } => self.starts.entry(part.clone()).or_default().push((t, *warm)),
+            RecordKind::Stopped { .. } => self.stops.entry(part.clone()).or_default().push(t),
             _ => {}
         }
     }
@@ -216,7 +219,7 @@
             };
             let (began, ended) = ((*began).max(from), (*ended).min(to));
             if ended >= began {
-                all = all + ended.since(began).scaled(part) + SLOW_TURN;
+                all = all + ended.since(began).scaled(part) + SLOW_PROXY_PERIOD;
             }
         }
         all
@@ -243,11 +246,11 @@
     let book = Book::of(records);
     let mut verdict = Verdict::default();
     for record in records {
-        if let What::Late { p99_us, max_us } = record.what {
+        if let RecordKind::TimerLateness { p99_us, max_us } = record.kind {
             verdict.late = verdict.late.max(Micros(max_us));
             verdict.late_p99 = verdict.late_p99.max(Micros(p99_us));
         }
-        if let What::Void { text } = &record.what {
+        if let RecordKind::RunInvalid { text } = &record.kind {
             verdict.void.get_or_insert(text.clone());
         }
     }
@@ -267,7 +270,7 @@
     for (proxy, spans) in &book.downs {
         for (at, _, how) in spans.iter().filter(|(_, _, how)| how.starts_with("crash")) {
             let text = format!("{proxy}: {how}");
-            verdict.breaches.push(Breach { rule: Rule::Alive, id: None, at: *at, text });
+            verdict.breaches.push(Breach { rule: Rule::NoCrash, id: None, at: *at, text });
         }
     }
     verdict.breaches.sort_by_key(|breach| breach.at);
@@ -277,7 +280,7 @@
 fn one_answer(book: &Book, id: &str, e: &Request, slack: Micros, verdict: &mut Verdict) {
     let mut breach = |at, text: String| {
         let id = Some(id.to_string());
-        verdict.breaches.push(Breach { rule: Rule::OneAnswer, id, at, text });
+        verdict.breaches.push(Breach { rule: Rule::OneResponse, id, at, text });
     };
     if e.unasked {
         let at = e.answers.first().map_or(e.sent, |(at, _)| *at);
@@ -337,7 +340,7 @@
     }
     let mut breach = |at, text| {
         let id = Some(id.to_string());
-        verdict.breaches.push(Breach { rule: Rule::OneEffect, id, at, text });
+        verdict.breaches.push(Breach { rule: Rule::OneExecution, id, at, text });
     };
     let (first, rest) = (&begun[0], &begun[1..]);
     match (class.effect, class.group, class.window) {
@@ -403,7 +406,12 @@
         // It could do nothing while it was stopped, nor at once after.
         if *first > since + grace + slack + book.stopped(&e.to, since, *first) {
             let text = format!("sent to {host} {} after {} was told of its drain", first.since(since), e.to);
-            verdict.breaches.push(Breach { rule: Rule::Drains, id: Some(id.to_string()), at: *first, text });
+            verdict.breaches.push(Breach {
+                rule: Rule::DrainGrace,
+                id: Some(id.to_string()),
+                at: *first,
+                text,
+            });
         }
     }
 }
@@ -412,7 +420,8 @@
     let offered = book.offered.get(host).map_or(&[][..], |all| all.as_slice());
     let ended = book.stops.get(host).into_iter().flatten().find(|at| **at > from).copied();
     let until = (from + tier.cold_ramp).min(ended.unwrap_or(At(i64::MAX)) + Micros(1));
-    let Some((at, count, bearable)) = facts::heaviest(offered, (from, until), tier, cores).over else {
+    let Some((at, count, bearable)) = fleet_figures::heaviest(offered, (from, until), tier, cores).over
+    else {
         return;
     };
     let text = format!(
@@ -420,33 +429,33 @@
         tier.fall_window,
         at.since(from)
     );
-    verdict.breaches.push(Breach { rule: Rule::Cold, id: None, at, text });
+    verdict.breaches.push(Breach { rule: Rule::SlowStart, id: None, at, text });
 }
 
 /// All that was seen of a request and of its calls, a line each, with what else went on meanwhile.
 pub fn timeline(records: &[Record], id: &str, start: At, logs: &[(String, String)]) -> Vec<String> {
     let below = format!("{id}.");
     let about =
-        |record: &Record| record.what.id().is_some_and(|found| found == id || found.starts_with(&below));
+        |record: &Record| record.kind.id().is_some_and(|found| found == id || found.starts_with(&below));
     let own: Vec<&Record> = records.iter().filter(|record| about(record)).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else { return Vec::new() };
     let (from, to) = (first.t, last.t);
     let around = |record: &&Record| {
         let kind = matches!(
-            record.what,
-            What::Fault { .. }
-                | What::Cut { .. }
-                | What::Healed { .. }
-                | What::ProxyDown { .. }
-                | What::ProxyUp { .. }
-        ) || matches!(&record.what, What::Told { health, .. } if health != "Ready");
+            record.kind,
+            RecordKind::Fault { .. }
+                | RecordKind::Cut { .. }
+                | RecordKind::Restored { .. }
+                | RecordKind::ProxyDown { .. }
+                | RecordKind::ProxyUp { .. }
+        ) || matches!(&record.kind, RecordKind::HealthReported { health, .. } if health != "Ready");
         kind && record.t >= from - Micros::from_millis(2000) && record.t <= to
     };
     let mut all: Vec<&Record> = own.iter().copied().chain(records.iter().filter(around)).collect();
     all.sort_by_key(|record| record.t);
     let line = |record: &&Record| {
-        let what = serde_json::to_string(&record.what).unwrap_or_default();
-        format!("{:>12.3} ms  {:<14} {what}", (record.t.0 - start.0) as f64 / 1000.0, record.part)
+        let what = serde_json::to_string(&record.kind).unwrap_or_default();
+        format!("{:>12.3} ms  {:<14} {what}", (record.t.0 - start.0) as f64 / 1000.0, record.component)
     };
     let mut lines: Vec<String> = all.iter().map(line).collect();
     for (proxy, log) in logs {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -18,11 +18,11 @@
 use crate::component::{Command, ComponentHandle, Spec};
 use crate::configuration::{self, FleetTold, Told};
 use crate::deployment::zone;
+use crate::fault_steps::{self, FaultStep};
 use crate::fleet_poller::FleetPoller;
 use crate::process::{Became, Life, Process};
-use crate::record::{Recorder, What};
+use crate::record::{RecordKind, Recorder};
 use crate::scenario::{Balance, Fault, FaultKind, KnownBackends, Scenario, Tier};
-use crate::timeline::{self, Step};
 use crate::{arrivals, balancer, clients, peer_network, relay};
 
 const TURN: Duration = Duration::from_millis(2);
@@ -386,7 +386,7 @@
             match became {
                 Became::Nothing => {}
                 Became::Up => {
-                    self.recorder.write(At::now(), What::ProxyUp { proxy: proxy.clone() });
+                    self.recorder.write(At::now(), RecordKind::ProxyUp { proxy: proxy.clone() });
                     if self.began && self.proxies[place].tier == 0 {
                         self.target(&proxy, true);
                     }
@@ -396,7 +396,8 @@
                     return Err(Failure::InvalidInput(format!("{proxy} ended at its start ({how})")));
                 }
                 Became::Crashed(how) => {
-                    self.recorder.write(At::now(), What::ProxyDown { proxy, how: format!("crash: {how}") });
+                    self.recorder
+                        .write(At::now(), RecordKind::ProxyDown { proxy, how: format!("crash: {how}") });
                 }
                 Became::Late => {
                     let after = crate::process::READY;
@@ -455,23 +456,24 @@
         }
     }
 
-    fn step(&mut self, step: Step) -> Result<(), Failure> {
+    fn step(&mut self, step: FaultStep) -> Result<(), Failure> {
         match step {
-            Step::Say { text, on, kind, part } => {
-                self.recorder.write(At::now(), What::Fault { text, on, fault: Some(kind), befalls: part });
+            FaultStep::RecordFault { text, on, kind, part } => {
+                self.recorder
+                    .write(At::now(), RecordKind::Fault { text, on, fault: Some(kind), befalls: part });
             }
-            Step::Tell(name, command) => self.tell(&name, command),
-            Step::Word { tier, n, health } => self.word(tier, n, health),
-            Step::KillBackend(name) => {
+            FaultStep::SendCommand(name, command) => self.tell(&name, command),
+            FaultStep::SetHealth { tier, n, health } => self.word(tier, n, health),
+            FaultStep::KillBackend(name) => {
                 let killed = self.peers.get_mut(&name).is_some_and(ComponentHandle::kill);
                 if killed {
-                    self.recorder.named(&name).write(At::now(), What::Stopped { how: "killed".into() });
+                    self.recorder.named(&name).write(At::now(), RecordKind::Stopped { how: "killed".into() });
                 } else {
                     self.tell(&name, Command::Backend(backend::Command::Crash));
                 }
             }
-            Step::StartBackend { name, moved } => self.start_backend(&name, moved)?,
-            Step::MoveAgent { tier, n } => {
+            FaultStep::StartBackend { name, moved } => self.start_backend(&name, moved)?,
+            FaultStep::MoveAgent { tier, n } => {
                 self.agent_moves += 1;
                 let mut to = self.address(tier, 'a', n);
                 to.set_port(to.port() + 400 + self.agent_moves);
@@ -484,43 +486,43 @@
                     self.proxies[place].signal(Signal::HUP);
                 }
             }
-            Step::Down { proxy, kind, claim } => {
+            FaultStep::StopProxy { proxy, kind, fault_id } => {
                 let Some(place) = self.place(&proxy) else { return Ok(()) };
                 let process = &mut self.proxies[place];
-                process.downs.insert(claim);
+                process.downs.insert(fault_id);
                 if process.is_running() {
                     let how = if kind == FaultKind::Kill { "kill" } else { "term" };
-                    self.recorder.write(At::now(), What::ProxyDown { proxy, how: how.into() });
+                    self.recorder.write(At::now(), RecordKind::ProxyDown { proxy, how: how.into() });
                     process.end(kind == FaultKind::Kill);
                 }
             }
-            Step::Back { proxy, claim, known } => {
+            FaultStep::RestartProxy { proxy, fault_id, known } => {
                 let Some(place) = self.place(&proxy) else { return Ok(()) };
-                self.proxies[place].downs.remove(&claim);
+                self.proxies[place].downs.remove(&fault_id);
                 self.proxies[place].known = known;
                 self.start_if_wanted(place)?;
             }
-            Step::Halt { proxy, share, claim } => {
+            FaultStep::PauseProxy { proxy, share, fault_id } => {
                 let Some(place) = self.place(&proxy) else { return Ok(()) };
-                let what = self.proxies[place].halt(claim, share);
+                let what = self.proxies[place].halt(fault_id, share);
                 what.into_iter().for_each(|what| self.recorder.write(At::now(), what));
             }
-            Step::GoOn { proxy, claim } => {
+            FaultStep::ResumeProxy { proxy, fault_id } => {
                 let Some(place) = self.place(&proxy) else { return Ok(()) };
-                let what = self.proxies[place].go_on(claim);
+                let what = self.proxies[place].go_on(fault_id);
                 what.into_iter().for_each(|what| self.recorder.write(At::now(), what));
             }
-            Step::Join { proxy } => {
+            FaultStep::AddProxy { proxy } => {
                 let Some(place) = self.place(&proxy) else { return Ok(()) };
                 self.proxies[place].wanted = true;
                 self.start_if_wanted(place)?;
             }
-            Step::Part { proxy } => {
+            FaultStep::RemoveProxy { proxy } => {
                 let Some(place) = self.place(&proxy) else { return Ok(()) };
                 self.proxies[place].wanted = false;
                 self.target(&proxy, false);
                 if self.proxies[place].is_running() {
-                    self.recorder.write(At::now(), What::ProxyDown { proxy, how: "shrink".into() });
+                    self.recorder.write(At::now(), RecordKind::ProxyDown { proxy, how: "shrink".into() });
                     self.proxies[place].end(false);
                 }
             }
@@ -587,7 +589,7 @@
         self.add(Spec::Clients(spec), false)?;
         self.proxies.iter_mut().for_each(Process::memory_from_here);
         let _watches = self.watch();
-        let mut steps: VecDeque<_> = timeline::steps(scenario, &scenario.faults, 0).into();
+        let mut steps: VecDeque<_> = fault_steps::steps(scenario, &scenario.faults, 0).into();
         let mut given = scenario.faults.len();
         let last = self.start + scenario.duration + Micros::from_millis(8000);
         loop {
@@ -600,7 +602,7 @@
             }
             for mut fault in injected.iter().flat_map(|injected| injected.try_iter()) {
                 fault.at = At::now().since(self.start);
-                steps.extend(timeline::steps(scenario, &[fault], given));
+                steps.extend(fault_steps::steps(scenario, &[fault], given));
                 steps.make_contiguous().sort_by_key(|(at, _)| *at);
                 given += 1;
             }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/run_figures.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{At, Micros};
-use crate::facts;
 use crate::figures::Figures;
-use crate::record::{Record, What};
+use crate::fleet_figures;
+use crate::record::{Record, RecordKind};
 use crate::scenario::Scenario;
 
 const END_PART: f64 = 0.25; // of the run, whose figures tell whether it came back
@@ -20,8 +20,8 @@
     let (mut late, mut late_honoured, mut arrivals, mut cpu, mut grown) = (0u64, 0u64, 0u64, 0u64, 0u64);
     let lowest = scenario.tiers.last().map(|tier| format!("{}/", tier.name)).unwrap_or_default();
     for record in records {
-        match &record.what {
-            What::Over { due, honoured, .. } => {
+        match &record.kind {
+            RecordKind::IntentFinished { due, honoured, .. } => {
                 f.intents += 1;
                 f.honoured += u64::from(*honoured);
                 if *due >= late_from {
@@ -32,18 +32,18 @@
                     let _ = took.record(record.t.since(*due).0.max(1) as u64);
                 }
             }
-            What::Sent { .. } => f.tries += 1,
-            What::Answered { status: 200, .. } => {}
-            What::Answered { status: 429 | 503, .. } => f.turned_back += 1,
-            What::Answered { .. } => f.forfeited += 1,
-            What::Lost { .. } | What::GaveUp { own: false, .. } => f.lost += 1,
-            What::GaveUp { own: true, .. } => f.left += 1,
-            What::Arrived { .. } if record.part.starts_with(&lowest) => arrivals += 1,
-            What::Used { cpu_us, memory_before, memory, .. } => {
+            RecordKind::Sent { .. } => f.tries += 1,
+            RecordKind::ResponseReceived { status: 200, .. } => {}
+            RecordKind::ResponseReceived { status: 429 | 503, .. } => f.turned_back += 1,
+            RecordKind::ResponseReceived { .. } => f.forfeited += 1,
+            RecordKind::ConnectionLost { .. } | RecordKind::GaveUp { own: false, .. } => f.lost += 1,
+            RecordKind::GaveUp { own: true, .. } => f.left += 1,
+            RecordKind::Arrived { .. } if record.component.starts_with(&lowest) => arrivals += 1,
+            RecordKind::ResourceUsage { cpu_us, memory_before, memory, .. } => {
                 cpu += cpu_us;
                 grown += memory.saturating_sub(*memory_before);
             }
-            What::Idle { open, .. } => f.idle = *open as u64,
+            RecordKind::IdleConnections { open, .. } => f.idle = *open as u64,
             _ => {}
         }
     }
@@ -57,7 +57,7 @@
     f.honoured_per_s = f.honoured as f64 / scenario.duration.secs();
     f.cpu_us = share(cpu, f.tries);
     f.idle_bytes = share(grown, f.idle);
-    f.fleet = facts::facts(records, scenario, start);
+    f.fleet = fleet_figures::compute(records, scenario, start);
     f
 }
 
@@ -94,33 +94,33 @@
     let mut slices = vec![Slice::default(); SLICES];
     let mut took: Vec<_> = (0..SLICES).map(|_| histogram()).collect();
     let mut held: BTreeMap<&str, i64> = BTreeMap::new();
-    let dead = facts::dead(records, start + lasts);
+    let dead = fleet_figures::dead(records, start + lasts);
     let place = |t: At| {
         let part = (t.0 - start.0) as f64 / lasts.0.max(1) as f64;
         (0.0..1.0).contains(&part).then_some((part * SLICES as f64) as usize)
     };
     for record in records {
         let Some(n) = place(record.t) else { continue };
-        slices[n].dead += u64::from(facts::at_dead(record, &dead).is_some());
-        match &record.what {
-            What::Arrived { .. } => *slices[n].came.entry(record.part.clone()).or_default() += 1,
-            What::Sent { to, .. } => *slices[n].sent.entry(to.clone()).or_default() += 1,
-            What::Talk { sent, .. } => slices[n].talk += sent,
+        slices[n].dead += u64::from(fleet_figures::at_dead(record, &dead).is_some());
+        match &record.kind {
+            RecordKind::Arrived { .. } => *slices[n].came.entry(record.component.clone()).or_default() += 1,
+            RecordKind::Sent { to, .. } => *slices[n].sent.entry(to.clone()).or_default() += 1,
+            RecordKind::PeerTraffic { sent, .. } => slices[n].talk += sent,
             _ => {}
         }
-        match &record.what {
-            What::Answered { status: 200, .. } => slices[n].honoured += 1,
-            What::Answered { status: 429 | 503, .. } => slices[n].turned_back += 1,
-            What::Answered { .. } => slices[n].forfeited += 1,
-            What::Lost { .. } | What::GaveUp { own: false, .. } => slices[n].lost += 1,
-            What::Over { due, honoured: true, .. } => {
+        match &record.kind {
+            RecordKind::ResponseReceived { status: 200, .. } => slices[n].honoured += 1,
+            RecordKind::ResponseReceived { status: 429 | 503, .. } => slices[n].turned_back += 1,
+            RecordKind::ResponseReceived { .. } => slices[n].forfeited += 1,
+            RecordKind::ConnectionLost { .. } | RecordKind::GaveUp { own: false, .. } => slices[n].lost += 1,
+            RecordKind::IntentFinished { due, honoured: true, .. } => {
                 let _ = took[n].record(record.t.since(*due).0.max(1) as u64);
             }
-            What::Arrived { .. } => *held.entry(&record.part).or_default() += 1,
-            What::Refused { .. } | What::Done { .. } | What::Dropped { .. } => {
-                *held.entry(&record.part).or_default() -= 1;
+            RecordKind::Arrived { .. } => *held.entry(&record.component).or_default() += 1,
+            RecordKind::Refused { .. } | RecordKind::Finished { .. } | RecordKind::CallerGone { .. } => {
+                *held.entry(&record.component).or_default() -= 1;
             }
-            What::Stopped { .. } => drop(held.insert(&record.part, 0)),
+            RecordKind::Stopped { .. } => drop(held.insert(&record.component, 0)),
             _ => continue,
         }
         for (host, count) in &held {
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/search.rs
@@ -9,7 +9,7 @@
 
 use crate::arrivals;
 use crate::clock::Micros;
-use crate::experiment::Run;
+use crate::experiment::RunOutcome;
 use crate::fault_schedule;
 use crate::run::{self, Failure};
 use crate::scenario::{Fault, Variant};
@@ -41,7 +41,7 @@
 
 /// A schedule that breaks something.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct Finding {
     pub number: u64,
     pub marks: Marks,
     pub faults: Vec<Fault>,
@@ -55,11 +55,11 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Hunted {
+pub struct SearchResult {
     pub played: u64,
     /// Runs that told nothing: the machine was too busy, or the lab itself stood in the way.
     pub void: u64,
-    pub found: Vec<Found>,
+    pub found: Vec<Finding>,
 }
 
 /// What a schedule came to.
@@ -96,7 +96,7 @@
         let options = run::Options { program, dir: dir.clone(), stop, front: None };
         let ran = run::run(&scenario, seed, &options, &mut |_| {});
         let run = ran.and_then(|ran| {
-            Run::of(&Variant::unchanged(), scenario, seed, ran).map_err(Failure::Environment)
+            RunOutcome::of(&Variant::unchanged(), scenario, seed, ran).map_err(Failure::Environment)
         });
         let _ = std::fs::remove_dir_all(&dir);
         let run = run?;
@@ -191,7 +191,7 @@
         Ok(faults)
     }
 
-    fn write(&self, found: &Found, seed: u64) -> Result<(), Failure> {
+    fn write(&self, found: &Finding, seed: u64) -> Result<(), Failure> {
         let source =
             self.source.with_faults(&found.faults, seed, self.lasts()?).map_err(Failure::InvalidInput)?;
         let marks: Vec<&str> = found.marks.iter().map(String::as_str).collect();
@@ -212,14 +212,14 @@
     }
 
     /// Plays all schedules; `told` hears of each run and of what is found. What was found by an interruption stays.
-    pub fn run(&self, told: &(dyn Fn(u64, usize, &str) + Sync)) -> Result<Hunted, Failure> {
+    pub fn run(&self, told: &(dyn Fn(u64, usize, &str) + Sync)) -> Result<SearchResult, Failure> {
         let scenario = self.source.scenario(None, false).map_err(Failure::InvalidInput)?;
         let could_not = |e| Failure::Environment(format!("cannot write to {}: {e}", self.out.display()));
         std::fs::create_dir_all(&self.out).map_err(could_not)?;
         let mut drawn_over = scenario.clone();
         drawn_over.duration = self.lasts.unwrap_or(scenario.duration);
         let since = Instant::now();
-        let (next, hunted) = (AtomicU64::new(0), Mutex::new(Hunted::default()));
+        let (next, hunted) = (AtomicU64::new(0), Mutex::new(SearchResult::default()));
         let failed: Mutex<Option<Failure>> = Mutex::new(None);
         // A run is played by the thread that started its processes: they end with it.
         std::thread::scope(|scope| {
@@ -241,7 +241,7 @@
                         Ok(Came::Broke(marks, text)) => {
                             let path = self.file(number);
                             let (drawn, replayed) = (faults.len(), (0, 0));
-                            let found = Found { number, marks, faults, drawn, path, replayed, text };
+                            let found = Finding { number, marks, faults, drawn, path, replayed, text };
                             if let Err(e) = self.write(&found, seed) {
                                 keep_first(&failed, e);
                             }
@@ -283,10 +283,10 @@
         Ok(hunted)
     }
 
-    fn finish(&self, found: &Found, since: Instant) -> Result<Found, Failure> {
+    fn finish(&self, found: &Finding, since: Instant) -> Result<Finding, Failure> {
         let seed = self.seed_of(found.number);
         let faults = self.cut_down(found.faults.clone(), seed, &found.marks, since)?;
-        let mut cut = Found { faults, ..found.clone() };
+        let mut cut = Finding { faults, ..found.clone() };
         cut.replayed = (self.breaks(&cut.faults, seed, &found.marks, REPLAYS)?, REPLAYS);
         self.write(&cut, seed)?;
         Ok(cut)
@@ -305,6 +305,6 @@
 }
 
 /// The folder that finds go to where none is named.
-pub fn folder(file: &Path) -> PathBuf {
+pub fn default_folder(file: &Path) -> PathBuf {
     file.with_file_name("found")
 }
--- a/crates/lab/tests/facts.rs
+++ b/crates/lab/tests/fleet_figures.rs
@@ -3,11 +3,11 @@
 use std::path::Path;
 
 use sparlug_lab::clock::At;
-use sparlug_lab::facts::facts;
 use sparlug_lab::figures::{FleetFigures, FIGURES};
-use sparlug_lab::ledger::judge;
-use sparlug_lab::outcome;
-use sparlug_lab::record::{Record, What};
+use sparlug_lab::fleet_figures::compute;
+use sparlug_lab::record::{Record, RecordKind};
+use sparlug_lab::rules::judge;
+use sparlug_lab::run_figures;
 use sparlug_lab::scenario::{FaultKind, Scenario};
 use sparlug_lab::scenario_file::ScenarioFile;
 
@@ -37,15 +37,15 @@
     ScenarioFile::of(Path::new("forged.toml"), TEXT.to_string() + more)?.scenario(None, false)
 }
 
-fn record(ms: i64, part: &str, what: What) -> Record {
-    Record { t: At(ms * 1000), part: part.to_string(), what }
+fn record(ms: i64, part: &str, what: RecordKind) -> Record {
+    Record { t: At(ms * 1000), component: part.to_string(), kind: what }
 }
 
 /// A request by a proxy to a backend.
 fn forward(ms: i64, n: usize, proxy: &str, host: &str) -> [Record; 2] {
     let (id, class) = (format!("{ms}-{n}-{proxy}"), "read".to_string());
     let (due, cut_off) = (At(ms * 1000), At(ms * 1000 + 500_000));
-    let sent = What::Sent {
+    let sent = RecordKind::Sent {
         id: id.clone(),
         intent: 1,
         class: class.clone(),
@@ -54,22 +54,26 @@
         cut_off,
         try_no: 0,
     };
-    [record(ms, "callers", sent), record(ms, host, What::Arrived { id, first: due, class })]
+    [record(ms, "callers", sent), record(ms, host, RecordKind::Arrived { id, first: due, class })]
 }
 
 fn fault(ms: i64, kind: FaultKind, part: &str, on: bool) -> Record {
     let (text, befalls) = (format!("{kind:?} {part}"), part.to_string());
-    record(ms, "lab", What::Fault { text, on, fault: Some(kind), befalls })
+    record(ms, "lab", RecordKind::Fault { text, on, fault: Some(kind), befalls })
 }
 
 fn over(ms: i64, honoured: bool) -> Record {
     let class = "read".to_string();
-    record(ms + 10, "callers", What::Over { intent: 1, class, due: At(ms * 1000), honoured, tries: 1 })
+    record(
+        ms + 10,
+        "callers",
+        RecordKind::IntentFinished { intent: 1, class, due: At(ms * 1000), honoured, tries: 1 },
+    )
 }
 
 fn of(mut records: Vec<Record>) -> FleetFigures {
     records.sort_by_key(|record| record.t);
-    facts(&records, &scenario("").unwrap(), At(0))
+    compute(&records, &scenario("").unwrap(), At(0))
 }
 
 #[test]
@@ -78,8 +82,8 @@
         fault(2000, FaultKind::Crash, "front/s-0", true),
         fault(14_000, FaultKind::Crash, "front/s-0", false),
     ];
-    records.extend((0..7).map(|n| record(2500 + n * 100, "front/l-0", What::NotUp)));
-    records.extend((0..12).map(|n| record(9000 + n * 100, "front/l-0", What::NotUp)));
+    records.extend((0..7).map(|n| record(2500 + n * 100, "front/l-0", RecordKind::ConnectFailed)));
+    records.extend((0..12).map(|n| record(9000 + n * 100, "front/l-0", RecordKind::ConnectFailed)));
     records.extend(forward(1000, 0, "front/p-0", "front/s-0"));
     records.extend(forward(15_000, 0, "front/p-0", "front/s-0"));
     records.extend(forward(3000, 0, "front/p-0", "front/s-1"));
@@ -89,7 +93,7 @@
 
 #[test]
 fn a_cold_backend_counts_what_all_offer_it_by_what_it_can_bear() {
-    let mut records = vec![record(1000, "front/s-1", What::Started { warm: false, life: 2 })];
+    let mut records = vec![record(1000, "front/s-1", RecordKind::Started { warm: false, life: 2 })];
     // 80 by each of two, evenly over 1.5 s: the second one of size two can bear 1.5 / 0.02 x 2 x its warmth.
     for proxy in ["front/p-0", "front/p-1"] {
         records.extend((0..160).flat_map(|n| forward(1000 + n * 18, n as usize, proxy, "front/s-1")));
@@ -144,9 +148,9 @@
 #[test]
 fn talk_is_told_for_the_busiest_and_the_mean_and_costs_for_each() {
     let talk = |ms, proxy: &str, sent, bytes| {
-        record(ms, "front/w", What::Talk { proxy: proxy.into(), sent, bytes, lost: 0 })
+        record(ms, "front/w", RecordKind::PeerTraffic { proxy: proxy.into(), sent, bytes, lost: 0 })
     };
-    let used = What::Used {
+    let used = RecordKind::ResourceUsage {
         proxy: "front/p-0".into(),
         cpu_us: 40_000,
         memory_before: 0,
@@ -170,10 +174,10 @@
 fn every_figure_can_be_bounded_and_a_bound_of_none_is_told_with_its_line() {
     for (name, _) in FIGURES {
         let scenario = scenario(&format!("[bounds]\nleast = {{ {name} = 1e12 }}\n")).unwrap();
-        let missed = outcome::figures(&[], &scenario, At(0)).missed(&scenario.bounds);
+        let missed = run_figures::figures(&[], &scenario, At(0)).missed(&scenario.bounds);
         assert!(missed.len() == 1 && missed[0].starts_with(&format!("{name} is")), "{name}: {missed:?}");
         let scenario = scenario_most(name);
-        assert_eq!(outcome::figures(&[], &scenario, At(0)).missed(&scenario.bounds).len(), 1, "{name}");
+        assert_eq!(run_figures::figures(&[], &scenario, At(0)).missed(&scenario.bounds).len(), 1, "{name}");
     }
     let fault = scenario("[bounds]\nmost = { deadest = 1 }\n").map(|_| ()).unwrap_err();
     assert!(fault.starts_with("forged.toml:22: bounds: figure \"deadest\": wanted one of idle"), "{fault}");
@@ -220,13 +224,13 @@
 
 #[test]
 fn a_run_whose_ways_were_late_is_void_and_time_that_a_proxy_was_stopped_does_not_count_for_drains() {
-    let void = record(5, "front/w", What::Void { text: "late".into() });
+    let void = record(5, "front/w", RecordKind::RunInvalid { text: "late".into() });
     assert_eq!(judge(&[void], &scenario("").unwrap()).void.as_deref(), Some("late"));
     let told = |ms| {
         record(
             ms,
             "front/a",
-            What::Told {
+            RecordKind::HealthReported {
                 proxy: "front/p-0".into(),
                 host: "front/s-0".into(),
                 health: "Terminating".into(),
@@ -234,11 +238,12 @@
             },
         )
     };
-    let down = |how: &str| record(900, "lab", What::ProxyDown { proxy: "front/p-0".into(), how: how.into() });
-    let up = record(4000, "lab", What::ProxyUp { proxy: "front/p-0".into() });
+    let down =
+        |how: &str| record(900, "lab", RecordKind::ProxyDown { proxy: "front/p-0".into(), how: how.into() });
+    let up = record(4000, "lab", RecordKind::ProxyUp { proxy: "front/p-0".into() });
     let drains = |records: Vec<Record>| {
         let verdict = judge(&records, &scenario("").unwrap());
-        verdict.breaches.iter().filter(|breach| breach.rule == sparlug_lab::ledger::Rule::Drains).count()
+        verdict.breaches.iter().filter(|breach| breach.rule == sparlug_lab::rules::Rule::DrainGrace).count()
     };
     let sent = |ms| forward(ms, 0, "front/p-0", "front/s-0").to_vec();
     assert_eq!(drains([vec![told(1000)], sent(4100)].concat()), 1);
--- a/crates/lab/tests/parts.rs
+++ b/crates/lab/tests/parts.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 
 use sparlug_lab::clock::{At, Micros};
-use sparlug_lab::experiment::Plan;
-use sparlug_lab::outcome;
-use sparlug_lab::record::{self, Record, Recorder, What};
+use sparlug_lab::experiment::Experiment;
+use sparlug_lab::record::{self, Record, RecordKind, Recorder};
+use sparlug_lab::run_figures;
 use sparlug_lab::scenario::{Bounds, Scenario};
 use sparlug_lab::scenario_file::ScenarioFile;
 use sparlug_lab::{arrivals, http_message};
@@ -122,7 +122,7 @@
     let text = calm() + "[matrix]\n\"tier.0.backends\" = [3, 5]\n\"load.rate\" = [10, 20]\n";
     let (seed, seeds, short, out) = (None, 1, true, None);
     let (program, stop) = ("none".into(), Default::default());
-    let plan = Plan { source: source(text).unwrap(), seed, seeds, short, program, out, stop };
+    let plan = Experiment { source: source(text).unwrap(), seed, seeds, short, program, out, stop };
     let found = plan.variants().unwrap();
     let of = |s: &Scenario| (s.tiers[0].backends, s.load.rate);
     let choices: Vec<_> = found.iter().map(|(_, scenario)| of(scenario)).collect();
@@ -146,14 +146,14 @@
     let path = std::env::temp_dir().join(format!("sparlug-records-{}.jsonl", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let recorder = Recorder::open(&path, "lab").unwrap();
-    let what = What::Answered { id: "a".into(), status: 200, retry_after_ms: Some(1.5) };
+    let what = RecordKind::ResponseReceived { id: "a".into(), status: 200, retry_after_ms: Some(1.5) };
     recorder.named("callers").write(At(20), what.clone());
-    recorder.write(At(10), What::Note { text: "first".into() });
+    recorder.write(At(10), RecordKind::Note { text: "first".into() });
     let whole = std::fs::read(&path).unwrap();
     std::fs::write(&path, [&whole[..], b"{\"t\":30,\"part\":\"cal"].concat()).unwrap();
     let read = record::read(&path).unwrap();
     assert_eq!(read.len(), 2);
-    assert_eq!(read[1], Record { t: At(20), part: "callers".into(), what });
+    assert_eq!(read[1], Record { t: At(20), component: "callers".into(), kind: what });
     std::fs::write(&path, "{\"t\":30,\"nonsense\":1}\n").unwrap();
     assert!(record::read(&path).unwrap_err().contains(":1: no record"));
     std::fs::remove_file(&path).unwrap();
@@ -194,13 +194,19 @@
     let scenario = source(calm()).unwrap().scenario(None, false).unwrap();
     let over = |t, due, honoured| Record {
         t: At(t),
-        part: "callers".into(),
-        what: What::Over { intent: 1, class: "read".into(), due: At(due), honoured, tries: 1 },
+        component: "callers".into(),
+        kind: RecordKind::IntentFinished {
+            intent: 1,
+            class: "read".into(),
+            due: At(due),
+            honoured,
+            tries: 1,
+        },
     };
     // Sent late by a stalled caller or not: 900 ms is what it took.
     let records =
         [over(1_000_000, 100_000, true), over(1_010_000, 1_000_000, true), over(7_500_000, 7_000_000, false)];
-    let figures = outcome::figures(&records, &scenario, At(0));
+    let figures = run_figures::figures(&records, &scenario, At(0));
     assert_eq!((figures.intents, figures.honoured), (3, 2));
     assert!((899.0..901.0).contains(&figures.max_ms));
     assert_eq!(figures.end_honoured_share, 0.0);
--- a/crates/lab/tests/peer_network.rs
+++ b/crates/lab/tests/peer_network.rs
@@ -9,7 +9,7 @@
 use sparlug_lab::clock::Micros;
 use sparlug_lab::component::{Command, ComponentHandle, Spec};
 use sparlug_lab::peer_network::{self, ActiveFault, ProxyEndpoint};
-use sparlug_lab::record::{self, Recorder, What};
+use sparlug_lab::record::{self, RecordKind, Recorder};
 use sparlug_lab::scenario::{FaultKind, Fleet};
 
 const QUIET_PERIOD: Duration = Duration::from_millis(150);
@@ -231,7 +231,9 @@
     let totals = loop {
         let (mut sent, mut bytes, mut lost) = (0, 0, 0);
         for record in record::read(&records).unwrap() {
-            if let What::Talk { proxy, sent: sent_now, bytes: bytes_now, lost: lost_now } = record.what {
+            if let RecordKind::PeerTraffic { proxy, sent: sent_now, bytes: bytes_now, lost: lost_now } =
+                record.kind
+            {
                 assert_eq!(proxy, "front/p-0");
                 (sent, bytes, lost) = (sent + sent_now, bytes + bytes_now, lost + lost_now);
             }
