--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -22,7 +22,7 @@
 /// How long past its deadline an attempt waits, to record late responses.
 const LATE_RESPONSE_WAIT: Micros = Micros::from_millis(250);
 const CONNECT_TIMEOUT: Micros = Micros::from_millis(1000);
-/// The time between two connects of idle connections.
+/// The mean interval at which idle connections are opened.
 pub const IDLE_CONNECT_INTERVAL: Micros = Micros(150);
 const MAX_SETTLE_TIME: Micros = Micros::from_millis(5000); // after the end of the load, for open requests
 
@@ -66,7 +66,7 @@
     /// Opens the next batch of idle connections.
     OpenIdle,
     Retry(usize, u16),
-    /// The connection of an attempt is not established in time.
+    /// The connection of an attempt must be established by now.
     ConnectTimeout(ConnId),
     /// An attempt is given up: early by an impatient client, or some time after its deadline.
     GiveUp(ConnId, u64),
@@ -84,7 +84,7 @@
     pool: Vec<ConnId>,
 }
 
-/// One attempt to have an intent served.
+/// One attempt at an intent (a planned request).
 struct Attempt {
     serial: u64,
     intent: usize,
--- a/crates/lab/src/component.rs
+++ b/crates/lab/src/component.rs
@@ -14,6 +14,7 @@
 use crate::record::Recorder;
 use crate::{agent, backend, balancer, clients, peer_network, relay};
 
+/// What a component is started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Spec {
     Backend(Box<backend::Spec>),
@@ -25,6 +26,7 @@
     Clients(clients::Spec),
 }
 
+/// A command to a running component.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
     Backend(backend::Command),
@@ -58,7 +60,7 @@
 
 type StartResult = io::Result<Arc<Waker>>;
 
-/// Runs a component until it stops; sends once whether it has started.
+/// Runs a component until it stops, and reports through `started` whether it could start.
 fn run_component(spec: Spec, recorder: Recorder, commands: Receiver<Command>, started: Sender<StartResult>) {
     macro_rules! run {
         ($component:expr, $kind:ident) => {{
