--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! A scenario's variants and seeds, run paired and interleaved, and what comes of them together.
+//! Runs a scenario's variants with each seed, paired and interleaved, and combines their results.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
@@ -14,7 +14,7 @@
 use crate::scenario_file::ScenarioFile;
 use crate::{arrivals, record};
 
-/// Of the JSON results; goes up when a field changes its meaning.
+/// Version of the JSON results' schema; increases when a field changes its meaning.
 pub const SCHEMA: u32 = 1;
 
 pub struct Experiment {
@@ -23,7 +23,7 @@
     pub seeds: u64,
     pub short: bool,
     pub program: PathBuf,
-    /// Where records stay; without it they go with the run.
+    /// The folder that keeps the records; without it they are deleted after the run.
     pub out: Option<PathBuf>,
     pub stop: Arc<AtomicBool>,
 }
@@ -40,17 +40,17 @@
     pub verdict: Verdict,
     pub series: Vec<Slice>,
     pub missed: Vec<String>,
-    /// The breaches' timelines, as they are printed.
+    /// The printed timelines of the breaches.
     pub timelines: Vec<String>,
 }
 
-/// A ratio between two variants over all seeds.
+/// The ratio of a figure between two variants over all seeds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ratio {
     pub figure: String,
     pub of: String,
     pub to: String,
-    /// The median over the seeds, and how far they spread.
+    /// The median, minimum and maximum over the seeds.
     pub ratio: f64,
     pub least: f64,
     pub most: f64,
@@ -62,7 +62,7 @@
     pub variant: String,
     pub seed: u64,
     pub lawless: bool,
-    /// Of all arrivals and faults that were planned.
+    /// A hash of all planned arrivals and faults.
     pub plan: String,
     pub rules_broken: usize,
     pub breaches: Vec<String>,
@@ -71,14 +71,14 @@
     pub crossed: usize,
     pub late_p99_us: i64,
     pub late_max_us: i64,
-    /// The machine was too busy for times to be judged.
+    /// The machine was too busy for time checks to be reliable.
     pub unsure: bool,
-    /// Why the run tells nothing, if so.
+    /// Why the run is invalid, if it is.
     #[serde(default)]
     pub void: Option<String>,
     pub missed: Vec<String>,
     pub figures: Figures,
-    /// The run in slices of equal length.
+    /// Counts over time, in slices of equal length.
     #[serde(default)]
     pub series: Vec<Slice>,
 }
@@ -88,11 +88,11 @@
     pub schema: u32,
     pub scenario: String,
     pub lasts_s: f64,
-    /// Of all runs whose rules are judged.
+    /// Total over all runs whose rules count.
     pub rules_broken: usize,
     pub bounds_missed: usize,
     pub unsure: bool,
-    /// A run whose ways between proxies were late themselves tells nothing.
+    /// Whether a run was invalid since its simulated network between proxies was late itself.
     #[serde(default)]
     pub void: bool,
     pub runs: Vec<RunResult>,
@@ -100,7 +100,7 @@
 }
 
 impl Results {
-    /// The exit status that they come to.
+    /// The exit status of the command.
     pub fn status(&self) -> u8 {
         match self {
             r if r.void => 1,
@@ -113,7 +113,7 @@
 }
 
 impl Experiment {
-    /// Checks all that can be checked before anything is started.
+    /// Resolves all variants, which validates the input before any process starts.
     pub fn variants(&self) -> Result<Vec<(Variant, Scenario)>, String> {
         let base = self.source.scenario(None, self.short)?;
         let plain = Variant::unchanged();
@@ -134,7 +134,8 @@
         variants.into_iter().map(with).collect()
     }
 
-    /// Runs all; `progress` is told how many runs are done, of how many, and what part of the present one.
+    /// Runs all variants and seeds; `progress` gets the number of completed runs, the total, the completed
+    /// part of the current run and its variant.
     pub fn run(&self, progress: &mut dyn FnMut(usize, usize, f64, &str)) -> Result<Vec<RunOutcome>, Failure> {
         let variants = self.variants().map_err(Failure::InvalidInput)?;
         let first = self.seed.unwrap_or_else(|| variants.first().map_or(1, |(_, scenario)| scenario.seed));
@@ -147,8 +148,8 @@
                 let dir = run::run_dir(&scratch.dir, &variant.name, seed);
                 let (program, stop) = (self.program.clone(), self.stop.clone());
                 let options = run::Options { program, dir, stop, front: None };
-                let mut told = |part: f64| progress(done, total, part, &variant.name);
-                let ran = run::run(scenario, seed, &options, &mut told)?;
+                let mut report_part = |part: f64| progress(done, total, part, &variant.name);
+                let ran = run::run(scenario, seed, &options, &mut report_part)?;
                 let run =
                     RunOutcome::of(variant, scenario.clone(), seed, ran).map_err(Failure::Environment)?;
                 runs.push(run);
@@ -161,7 +162,7 @@
     }
 }
 
-/// A folder that goes when the runs are over, unless it was asked for.
+/// The folder of the runs, deleted at the end unless the user named it.
 struct Scratch {
     dir: PathBuf,
     keep: bool,
@@ -210,7 +211,7 @@
             let at = (breach.at.0 - ran.start.0) as f64 / 1000.0;
             timelines.push(format!("rule broken: {}, at {at:.1} ms: {}", breach.rule.name(), breach.text));
             if let Some(id) = &breach.id {
-                let logs = logs_of(&ran.dir);
+                let logs = read_logs(&ran.dir);
                 timelines.extend(
                     rules::timeline(&records, id, ran.start, &logs).into_iter().map(|l| format!("    {l}")),
                 );
@@ -221,7 +222,7 @@
             record::RecordKind::Fault { text, on, .. } => Some(format!("{text} {on}")),
             _ => None,
         });
-        // A closed loop's plan is its seed: what is taken of it depends on the answers.
+        // For a closed loop, the seed identifies the plan: the requests sent depend on the responses.
         let arrivals = if scenario.load.closed > 0 {
             seed
         } else {
@@ -255,9 +256,9 @@
             plan: self.plan.clone(),
             rules_broken: v.breaches.len(),
             breaches: v.breaches.iter().take(50).map(|b| format!("{}: {}", b.rule.name(), b.text)).collect(),
-            taken: v.taken,
+            taken: v.accepted,
             excused: v.excused,
-            crossed: v.crossed,
+            crossed: v.close_races,
             late_p99_us: v.late_p99.0,
             late_max_us: v.late.0,
             unsure: v.unsure(),
@@ -269,7 +270,7 @@
     }
 }
 
-fn logs_of(dir: &Path) -> Vec<(String, String)> {
+fn read_logs(dir: &Path) -> Vec<(String, String)> {
     let files = std::fs::read_dir(dir).into_iter().flatten().flatten().map(|entry| entry.path());
     let logs = files.filter(|path| path.extension().is_some_and(|e| e == "log"));
     let read = |path: PathBuf| {
@@ -279,7 +280,7 @@
     logs.filter_map(read).collect()
 }
 
-/// Sums the runs up.
+/// Combines the runs into results.
 pub fn results(runs: &[RunOutcome]) -> Results {
     let scenario = runs.first().map(|run| &run.scenario);
     let of = |variant: &str, figure: &str| -> Vec<(u64, f64)> {
@@ -296,11 +297,11 @@
         }
         all.sort_by(f64::total_cmp);
         let ratio = all.get(all.len() / 2).copied().unwrap_or(f64::NAN);
-        let words = || format!("{} of {} to {} is {ratio:.3}", compare.figure, compare.of, compare.to);
+        let description = || format!("{} of {} to {} is {ratio:.3}", compare.figure, compare.of, compare.to);
         let high = compare.most.filter(|most| ratio > *most || ratio.is_nan());
         let low = compare.least.filter(|least| ratio < *least || ratio.is_nan());
-        let high = high.map(|most| format!("{}, wanted at most {most}", words()));
-        let missed = high.or_else(|| low.map(|least| format!("{}, wanted at least {least}", words())));
+        let high = high.map(|most| format!("{}, wanted at most {most}", description()));
+        let missed = high.or_else(|| low.map(|least| format!("{}, wanted at least {least}", description())));
         ratios.push(Ratio {
             figure: compare.figure.clone(),
             of: compare.of.clone(),
@@ -326,13 +327,13 @@
     }
 }
 
-/// What many proxies came to together; nothing where nothing befell any of it.
+/// The table of fleet figures; empty if no run has any.
 fn fleet_table(results: &Results) -> String {
-    let told = |run: &&RunResult| {
+    let has_figures = |run: &&RunResult| {
         let f = &run.figures.fleet;
         f.dead_first > 0 || f.cold_most > 0.0 || f.back_s > 0.0 || f.talk_per_s > 0.0 || f.moved > 0.0
     };
-    if results.runs.iter().filter(told).count() == 0 {
+    if results.runs.iter().filter(has_figures).count() == 0 {
         return String::new();
     }
     let mut out = format!(
@@ -362,11 +363,11 @@
     out
 }
 
-/// What members saw of each other; nothing where nobody was asked.
+/// The lines on membership and duties; empty if no proxy was polled.
 fn members_table(results: &Results) -> String {
-    let asked = |run: &&RunResult| run.figures.fleet.shares_most > 0.0;
+    let was_polled = |run: &&RunResult| run.figures.fleet.shares_most > 0.0;
     let mut out = String::new();
-    for run in results.runs.iter().filter(asked) {
+    for run in results.runs.iter().filter(was_polled) {
         let f = &run.figures.fleet;
         out += &format!(
             "members, {} {}: a killed one gone after {:.1} s (most {:.1}), {} false deaths, all agree after {:.1} s, \
@@ -385,7 +386,7 @@
     out
 }
 
-/// The table at the end of a run.
+/// The summary table printed after the runs.
 pub fn table(results: &Results) -> String {
     let mut out = format!(
         "{:<14} {:>6} {:>8} {:>9} {:>9} {:>8} {:>8} {:>8} {:>7} {:>7} {:>6}\n",
--- a/crates/lab/src/fault_steps.rs
+++ b/crates/lab/src/fault_steps.rs
@@ -1,40 +1,43 @@
-//! What a scenario's faults come to: single steps in the order of time, told to the parts that they befall.
+//! Expands a scenario's faults into single steps, sorted by time, for the components that they affect.
 
 use crate::clock::Micros;
 use crate::component::Command;
 use crate::scenario::{Fault, FaultKind, KnownBackends, Scenario};
 use crate::{agent, backend, clients, peer_network, relay};
 
-const NOTICE: Micros = Micros::from_millis(500); // until a crash is known
-const BACK: Micros = Micros::from_millis(800); // a killed proxy is back, unless the fault says when
-const COMING: Micros = Micros::from_millis(50); // until a backend that is back is named
-const DIVERSE: u32 = 10_000; // parts that one fault befalls at the most
+/// From a backend's crash until the agents announce it.
+const CRASH_NOTICE_DELAY: Micros = Micros::from_millis(500);
+/// Downtime of a killed proxy, unless the fault sets its duration.
+const DEFAULT_PROXY_DOWNTIME: Micros = Micros::from_millis(800);
+/// From a backend's restart until the agents announce it.
+const RESTART_NOTICE_DELAY: Micros = Micros::from_millis(50);
+const MAX_COMPONENTS_PER_FAULT: u32 = 10_000; // most components that one fault affects
 
-/// Which fault keeps a proxy from running: it goes on when none does any more.
+/// The fault that keeps a proxy from running; the proxy runs again when no fault does.
 pub type FaultId = u32;
 
 #[derive(Clone, Debug)]
 pub enum FaultStep {
     SendCommand(String, Command),
-    /// Ends a peer's own process outright, or has its thread act as if.
+    /// Kills a backend's process, or has its thread behave as if killed.
     KillBackend(String),
     StartBackend {
         name: String,
         moved: bool,
     },
-    /// Ends a proxy, outright or by telling it to go.
+    /// Ends a proxy by killing it or by a signal to shut down.
     StopProxy {
         proxy: String,
         kind: FaultKind,
         fault_id: FaultId,
     },
-    /// That claim is over: it starts anew with this list, unless another keeps it down.
+    /// The fault is over: the proxy restarts with this list unless another fault keeps it down.
     RestartProxy {
         proxy: String,
         fault_id: FaultId,
         known: KnownBackends,
     },
-    /// Stops a proxy, for good or but for a part of its time.
+    /// Pauses a proxy, completely or for part of the time; `share` is the part of its time in which it runs.
     PauseProxy {
         proxy: String,
         share: f64,
@@ -44,14 +47,14 @@
         proxy: String,
         fault_id: FaultId,
     },
-    /// A proxy belongs to the deployment from now on, or no longer.
+    /// Adds a proxy to the deployment or removes it.
     AddProxy {
         proxy: String,
     },
     RemoveProxy {
         proxy: String,
     },
-    /// The agents' word on a backend.
+    /// The agents announce this state of a backend.
     SetHealth {
         tier: usize,
         n: usize,
@@ -70,22 +73,22 @@
 }
 
 /// When a fault begins and ends.
-type When = (Micros, Option<Micros>);
+type ActivePeriod = (Micros, Option<Micros>);
 
-/// All that faults come to, in the order of time; they are numbered from `first` on.
+/// The steps of all faults, sorted by time; the faults are numbered from `first`.
 pub fn steps(scenario: &Scenario, faults: &[Fault], first: usize) -> Vec<(Micros, FaultStep)> {
     let mut steps = Vec::new();
     for (number, fault) in faults.iter().enumerate() {
-        let number = (first + number) as u32 * DIVERSE;
+        let number = (first + number) as u32 * MAX_COMPONENTS_PER_FAULT;
         for round in 0..fault.times.max(1) {
             let begin = fault.at + fault.every.scaled(f64::from(round));
             let parts = scenario.components(&fault.part);
-            // All ways that are befallen at once are one fault.
-            let together =
+            // All network paths affected at the same time are one fault.
+            let same_time =
                 fault.kind.component_kinds().contains('w') && parts.first().is_none_or(|(_, l, _)| *l == 'w');
-            if together && fault.step == Micros::ZERO {
+            if same_time && fault.step == Micros::ZERO {
                 let say = (fault.text(&fault.part), fault.part.clone());
-                ways_steps(
+                push_network_steps(
                     scenario,
                     fault,
                     (begin, fault.duration.map(|lasts| begin + lasts)),
@@ -106,11 +109,11 @@
                 let text = fault.text(&name);
                 if letter == 'w' {
                     let fault = Fault { part: name.clone(), ..fault.clone() };
-                    ways_steps(scenario, &fault, when, number, (text, name), &mut steps);
+                    push_network_steps(scenario, &fault, when, number, (text, name), &mut steps);
                     continue;
                 }
-                say(fault.kind, when, (text, name.clone()), &mut steps);
-                part_steps(scenario, fault, (tier, n, name), when, number, &mut steps);
+                push_record_steps(fault.kind, when, (text, name.clone()), &mut steps);
+                push_component_steps(scenario, fault, (tier, n, name), when, number, &mut steps);
             }
         }
     }
@@ -119,85 +122,87 @@
     steps
 }
 
-fn say(
+fn push_record_steps(
     kind: FaultKind,
-    (at, off): When,
+    (at, end): ActivePeriod,
     (text, part): (String, String),
     steps: &mut Vec<(Micros, FaultStep)>,
 ) {
-    let word = |on| FaultStep::RecordFault { text: text.clone(), on, kind, part: part.clone() };
-    steps.push((at, word(true)));
-    steps.extend(off.map(|off| (off, word(false))));
+    let record_fault = |on| FaultStep::RecordFault { text: text.clone(), on, kind, part: part.clone() };
+    steps.push((at, record_fault(true)));
+    steps.extend(end.map(|end| (end, record_fault(false))));
 }
 
-fn ways_steps(
+fn push_network_steps(
     scenario: &Scenario,
     fault: &Fault,
-    (at, off): When,
+    (at, end): ActivePeriod,
     number: u32,
     text: (String, String),
     steps: &mut Vec<(Micros, FaultStep)>,
 ) {
-    // Checked with the scenario.
+    // The scenario's validation has ruled out an error.
     let Ok((tier, pairs)) = scenario.network_paths(fault) else { return };
-    say(fault.kind, (at, off), text, steps);
+    push_record_steps(fault.kind, (at, end), text, steps);
     let name = format!("{}/w", scenario.tiers[tier].name);
     let (kind, amount, jitter, chance) = (fault.kind, fault.amount, fault.jitter, fault.chance);
     let fault = peer_network::ActiveFault { kind, pairs, amount, jitter, chance };
     let begin = Command::PeerNetwork(peer_network::Command::Fault { number, fault });
     steps.push((at, FaultStep::SendCommand(name.clone(), begin)));
-    steps.extend(off.map(|off| {
+    steps.extend(end.map(|end| {
         (
-            off,
+            end,
             FaultStep::SendCommand(name, Command::PeerNetwork(peer_network::Command::ClearFault { number })),
         )
     }));
 }
 
-fn part_steps(
+fn push_component_steps(
     scenario: &Scenario,
     fault: &Fault,
     (tier, n, name): (usize, usize, String),
-    (at, off): When,
+    (at, end): ActivePeriod,
     number: u32,
     steps: &mut Vec<(Micros, FaultStep)>,
 ) {
     use FaultKind::*;
     let t = &scenario.tiers[tier];
-    let word = |health| FaultStep::SetHealth { tier, n, health };
+    let set_health = |health| FaultStep::SetHealth { tier, n, health };
     let mut push = |at, step| steps.push((at, step));
     let agent = |command| FaultStep::SendCommand(format!("{}/a", t.name), Command::Agent(command));
     let (proxy, fault_id, known) = (name.clone(), number, fault.known);
-    // Only agents, proxies and ways have these kinds in common with others.
+    // Agents, proxies and network paths share some kinds of fault with other components; the letter tells
+    // them apart.
     let letter = name.rsplit('/').next().and_then(|rest| rest.chars().next()).unwrap_or('s');
     match fault.kind {
         Crash => {
             push(at, FaultStep::KillBackend(name.clone()));
-            let noticed = at + NOTICE;
-            if off.is_none_or(|off| off > noticed) {
-                push(noticed, word("Gone"));
+            let announce_at = at + CRASH_NOTICE_DELAY;
+            if end.is_none_or(|end| end > announce_at) {
+                push(announce_at, set_health("Gone"));
             }
-            if let Some(off) = off {
-                push(off, FaultStep::StartBackend { name, moved: fault.moves });
-                push(off + COMING, word("Ready"));
+            if let Some(end) = end {
+                push(end, FaultStep::StartBackend { name, moved: fault.moves });
+                push(end + RESTART_NOTICE_DELAY, set_health("Ready"));
             }
         }
         Drain => {
-            push(at, word("Terminating"));
-            // Its own door shuts once the word and the grace are surely past.
-            let shut = at + t.lag + t.drain_grace + Micros::from_millis(100);
-            push(shut, FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Drain)));
+            push(at, set_health("Terminating"));
+            // The backend stops accepting connections only after the announcement and the grace period are
+            // certainly over.
+            let close_at = at + t.lag + t.drain_grace + Micros::from_millis(100);
+            push(close_at, FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Drain)));
             if !fault.stays {
                 push(
-                    shut,
+                    close_at,
                     FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Shutdown)),
                 );
             }
-            let back = off.map(|off| off.max(shut + Micros::from_millis(300)));
-            push(back.unwrap_or(shut + Micros::from_millis(300)), word("Gone"));
+            let back = end.map(|end| end.max(close_at + Micros::from_millis(300)));
+            push(back.unwrap_or(close_at + Micros::from_millis(300)), set_health("Gone"));
             if let Some(back) = back {
                 push(back, FaultStep::StartBackend { name, moved: fault.moves });
-                push(back + COMING, word("Ready"));
+                push(back + RESTART_NOTICE_DELAY, set_health("Ready"));
             }
         }
         Mute | Stale | Cut | Behind => {
@@ -209,15 +214,15 @@
                 _ => agent::Command::Behind { proxy: n, by: on.then_some(by) },
             };
             push(at, agent(command(true)));
-            if let Some(off) = off {
-                push(off, agent(command(false)));
+            if let Some(end) = end {
+                push(end, agent(command(false)));
             }
         }
         Delay if letter == 'a' => {
             let by = Micros::from_ms(fault.amount.unwrap_or(50.0));
             push(at, agent(agent::Command::Delay { proxy: n, by }));
-            if let Some(off) = off {
-                push(off, agent(agent::Command::Delay { proxy: n, by: Micros::ZERO }));
+            if let Some(end) = end {
+                push(end, agent(agent::Command::Delay { proxy: n, by: Micros::ZERO }));
             }
         }
         JumpBack => push(at, agent(agent::Command::JumpBack { by: fault.amount.unwrap_or(500.0) as u64 })),
@@ -226,27 +231,30 @@
             let (kind, amount, direction) = (fault.kind, fault.amount, fault.direction);
             let cut = relay::Command::Fault { kind, amount, direction };
             push(at, FaultStep::SendCommand(name.clone(), Command::Relay(cut)));
-            let over = off.unwrap_or(at + Micros::from_millis(1));
+            let over = end.unwrap_or(at + Micros::from_millis(1));
             push(over, FaultStep::SendCommand(name, Command::Relay(relay::Command::ClearFault { kind })));
         }
         Herd => push(at, FaultStep::SendCommand(name, Command::Clients(clients::Command::Herd))),
         Kill | Term => {
             push(at, FaultStep::StopProxy { proxy: name, kind: fault.kind, fault_id });
-            push(off.unwrap_or(at + BACK), FaultStep::RestartProxy { proxy, fault_id, known });
+            push(
+                end.unwrap_or(at + DEFAULT_PROXY_DOWNTIME),
+                FaultStep::RestartProxy { proxy, fault_id, known },
+            );
         }
-        // It starts anew once it has ended, however soon that is.
+        // The proxy restarts as soon as it has ended.
         Restart => {
             push(at, FaultStep::StopProxy { proxy: name, kind: fault.kind, fault_id });
-            push(off.unwrap_or(at), FaultStep::RestartProxy { proxy, fault_id, known });
+            push(end.unwrap_or(at), FaultStep::RestartProxy { proxy, fault_id, known });
         }
         Freeze => {
             push(at, FaultStep::PauseProxy { proxy: name, share: 0.0, fault_id });
-            push(off.unwrap_or(at + BACK), FaultStep::ResumeProxy { proxy, fault_id });
+            push(end.unwrap_or(at + DEFAULT_PROXY_DOWNTIME), FaultStep::ResumeProxy { proxy, fault_id });
         }
         Slow if letter == 'p' => {
             push(at, FaultStep::PauseProxy { proxy: name, share: fault.amount.unwrap_or(0.5), fault_id });
-            if let Some(off) = off {
-                push(off, FaultStep::ResumeProxy { proxy, fault_id });
+            if let Some(end) = end {
+                push(end, FaultStep::ResumeProxy { proxy, fault_id });
             }
         }
         Grow | Shrink => {
@@ -259,8 +267,8 @@
                 }
             };
             push(at, step(grows));
-            if let Some(off) = off {
-                push(off, step(!grows));
+            if let Some(end) = end {
+                push(end, step(!grows));
             }
         }
         kind => {
@@ -268,9 +276,9 @@
                 backend::ActiveFault { kind, amount: fault.amount, chance: fault.chance, nth: fault.nth };
             let command = backend::Command::Fault { number, fault };
             push(at, FaultStep::SendCommand(name.clone(), Command::Backend(command)));
-            if let Some(off) = off {
+            if let Some(end) = end {
                 push(
-                    off,
+                    end,
                     FaultStep::SendCommand(name, Command::Backend(backend::Command::ClearFault { number })),
                 );
             }
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run by their names, and the bounds that a scenario sets on them.
+//! The figures of a run, their names, and the bounds that a scenario sets on them.
 
 use std::collections::BTreeMap;
 
@@ -8,89 +8,94 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
-    /// What callers meant to have, and what of it was honoured, in the end.
+    /// Intents (planned requests with their retries) that ended, and those of them that were served.
     pub intents: u64,
     pub honoured: u64,
     pub honoured_share: f64,
-    /// The same over the last quarter.
+    /// The served share over the last quarter of the run.
     pub end_honoured_share: f64,
-    /// Answers by kind, over all tries.
+    /// Attempts of clients, and their outcomes by kind.
     pub tries: u64,
     pub turned_back: u64,
     pub forfeited: u64,
     pub left: u64,
     pub lost: u64,
-    /// From when an honoured intent was meant to be sent to its answer, ms.
+    /// Latency of served intents, from the planned time to the response, ms.
     pub p50_ms: f64,
     pub p90_ms: f64,
     pub p99_ms: f64,
     pub max_ms: f64,
-    /// Requests that came to the lowest tier for each intent.
+    /// Requests that arrived at the lowest tier per intent.
     pub amplification: f64,
     pub honoured_per_s: f64,
-    /// Processor time of all proxies for each try, us.
+    /// Processor time of all proxies per attempt, us.
     pub cpu_us: f64,
-    /// Connections that stood idle to the end, and a proxy's own memory for each, in bytes.
+    /// Connections that stayed idle to the end, and a proxy's private memory per connection, in bytes.
     pub idle: u64,
     pub idle_bytes: f64,
     #[serde(flatten, default)]
     pub fleet: FleetFigures,
 }
 
-/// What many proxies come to together, and what one of them costs.
+/// Figures of all proxies together, and the resource use of one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetFigures {
-    /// Requests that all proxies together sent to a dead backend: in the first 6 s of its being so, and a second after
-    /// that; the highest of all.
+    /// Requests that all proxies together sent to a dead backend: in the first 6 s after its death, and per
+    /// second after that; the maximum over all backends.
     pub dead_first: u64,
     pub dead_per_s: f64,
-    /// The most that a cold backend got from all in its window, by what it can bear.
+    /// The highest load that a cold backend got from all proxies in a window, as a ratio to its capacity.
     pub cold_most: f64,
-    /// Largest over mean, by size, of what went to backends and to proxies that nothing befell.
+    /// The largest count of requests divided by the mean, of backends (weighted by size) and of proxies
+    /// without faults.
     pub backend_spread: f64,
     pub proxy_spread: f64,
-    /// The part of a proxy's requests that go to backends which it did not use before, when another proxy or a backend
-    /// came or went, and over a like time before that.
+    /// The share of a proxy's requests that go to backends it did not use before, after another proxy or a
+    /// backend came or went, and over a period of the same length before that.
     pub moved: f64,
     pub moved_calm: f64,
-    /// Datagrams and bytes a second that the busiest proxy sent to others, and the mean of all.
+    /// Datagrams and bytes per second that the busiest proxy sent to others, and the mean number of
+    /// datagrams.
     pub talk_per_s: f64,
     pub talk_bytes_per_s: f64,
     pub talk_mean_per_s: f64,
-    /// Bytes a second that the busiest sent over the last half.
+    /// Bytes per second that the busiest proxy sent in the second half of the run.
     pub talk_late_bytes_per_s: f64,
-    /// Until others hold a killed proxy for gone, s: the middle, and the longest.
+    /// Time until others consider a killed proxy gone, s: the median and the maximum.
     pub gone_s: f64,
     pub gone_most_s: f64,
-    /// Pairs of proxies of which one held the other dead though nothing had befallen either for a while.
+    /// Pairs of proxies of which one considered the other dead though neither had been affected by a fault
+    /// for a while.
     pub false_deaths: u64,
-    /// After the last fault ended, s until all that run saw exactly each other; -1 where nobody was asked.
+    /// Time from the last change of a proxy or a network fault until all running proxies saw exactly each
+    /// other, s; -1 if no proxy was polled.
     pub agree_s: f64,
-    /// The most that all proxies' parts came to, with views that were old enough.
+    /// The largest sum of all proxies' shares, after views had time to settle.
     pub shares_most: f64,
-    /// Duties that were held; times that they changed hands, and that two must have held one at once.
+    /// Duties held, changes of holder, and times that two proxies must have held one at once.
     pub duties: u64,
     pub duties_changed: u64,
     pub duties_twice: u64,
-    /// Until a killed holder's duty was held again, s; the longest.
+    /// Time until a killed holder's duty had a holder again, s; the maximum.
     pub duties_gap_s: f64,
-    /// The same of one that was told to go: it gives back.
+    /// The same for a holder that was told to shut down and gives its duty back.
     pub duties_left_s: f64,
-    /// After the end of a fault, s until service was back at 0.98 of what it was before any; the longest.
+    /// Time from the end of a fault until the served share is back at 0.98 of its value before all faults, s;
+    /// the maximum.
     pub back_s: f64,
-    /// Of a proxy, as the mean of all: processor time in ms a second, times that it woke a second, and memory of its own in
-    /// MiB; the most descriptors that one held.
+    /// Mean over all proxies of processor time in ms per second, wakeups per second and private memory in
+    /// MiB; and the most descriptors that one proxy had open.
     pub proxy_cpu_ms: f64,
     pub proxy_wakeups: f64,
     pub proxy_mib: f64,
     pub proxy_descriptors: f64,
 }
 
-/// How a figure is read.
+/// A figure's name and the function that reads it.
 type Reading = (&'static str, fn(&Figures) -> f64);
 
-/// Every figure that can be compared or bounded.
+/// All figures that can be compared or bounded.
 pub const FIGURES: &[Reading] = &[
     ("idle", |f| f.idle as f64),
     ("idle_bytes", |f| f.idle_bytes),
@@ -140,7 +145,7 @@
         FIGURES.iter().find(|(known, _)| *known == name).map(|(_, read)| read(self))
     }
 
-    /// An error names all figures that there are.
+    /// Checks that a figure exists; the error lists all names.
     pub fn known(name: &str) -> Result<(), String> {
         let known = || FIGURES.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
         match FIGURES.iter().any(|(known, _)| *known == name) {
@@ -149,7 +154,7 @@
         }
     }
 
-    /// What of the bounds was missed, a line each.
+    /// The missed bounds, one line each.
     pub fn missed(&self, bounds: &Bounds) -> Vec<String> {
         let mut missed = Vec::new();
         let mut check = |name: &str, found: f64, least: Option<f64>, most: Option<f64>| {
@@ -185,20 +190,21 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// The part of the intents that ends with an honoured answer.
+    /// The share of the intents that are served.
     pub honoured_least: Option<f64>,
     pub honoured_most: Option<f64>,
-    /// The same over the last part of the run, once all faults are over: whether it came back.
+    /// The same over the last quarter of the run, which shows whether service recovered after the faults.
     pub end_honoured_least: Option<f64>,
     pub end_honoured_most: Option<f64>,
     pub p50_most: Option<Micros>,
     pub p99_most: Option<Micros>,
-    /// Requests that reached the lowest tier for each intent.
+    /// Requests that reach the lowest tier per intent.
     pub amplification_most: Option<f64>,
-    /// Connections that must still stand idle at the end, and bytes of a proxy's own for each.
+    /// Connections that must still be idle at the end, and the private memory of a proxy per connection, in
+    /// bytes.
     pub idle_least: Option<u64>,
     pub idle_bytes_most: Option<f64>,
-    /// Of any figure, by its name.
+    /// Bounds on any figure, by its name.
     pub least: BTreeMap<String, f64>,
     pub most: BTreeMap<String, f64>,
 }
--- a/crates/lab/src/fleet_figures.rs
+++ b/crates/lab/src/fleet_figures.rs
@@ -1,5 +1,6 @@
-//! Facts about many proxies together, out of a run's records: what dead and cold backends get from all of them, how
-//! evenly load lies, what moves when one comes or goes, what they tell each other, and when service is back.
+//! Computes the figures of the proxies as a fleet from a run's records: requests sent to dead and cold
+//! backends, the spread of load, the requests that move when a proxy or backend comes or goes, traffic
+//! between proxies, and recovery.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,20 +10,21 @@
 use crate::scenario::{Scenario, Tier};
 use crate::{duty_figures, membership_figures};
 
-/// While a backend is newly dead, its proxies may still be finding out.
-pub const FINDING_OUT: Micros = Micros::from_millis(6000);
-const BEFORE: Micros = Micros::from_millis(3000); // a window beside a coming or going
-const SETTLE: Micros = Micros::from_millis(1000); // between a coming or going and the window after it
-const BACK: f64 = 0.98; // of what service was before
-const BACK_WINDOW: Micros = Micros::from_millis(1000);
-const BACK_STEP: Micros = Micros::from_millis(100);
-const LEAST_REQUESTS: usize = 8; // of one proxy in a window, to tell what moved
-const LEAST_EVEN: u64 = 100; // requests at all backends, to tell how evenly they lie
+/// After a backend dies, the proxies may take this long to detect it.
+pub const DEATH_DETECTION_TIME: Micros = Micros::from_millis(6000);
+const MOVE_WINDOW: Micros = Micros::from_millis(3000); // window before and after a membership change
+/// Gap between a membership change and the window after it.
+const SETTLE_TIME: Micros = Micros::from_millis(1000);
+const RECOVERED_RATIO: f64 = 0.98; // part of the served share before the faults
+const RECOVERY_WINDOW: Micros = Micros::from_millis(1000);
+const RECOVERY_STEP: Micros = Micros::from_millis(100);
+const MIN_REQUESTS_PER_PROXY: usize = 8; // of one proxy in a window, to compute what moved
+const MIN_REQUESTS_FOR_SPREAD: u64 = 100; // requests at all backends, to compute their spread
 
-/// When each part was in a way that `wanted` names, up to the end of the run.
+/// By component, the time spans in which a condition held, up to the end of the run.
 type Spans = BTreeMap<String, Vec<(At, At)>>;
 
-/// The times at which backends gave no answers because of a fault.
+/// The time spans in which backends gave no responses because of a fault.
 pub fn dead(records: &[Record], end: At) -> Spans {
     let mut spans = Spans::new();
     for record in records {
@@ -40,7 +42,7 @@
     spans
 }
 
-/// Whether a request reached, or a connection was refused by, a backend that is dead, and which.
+/// The dead backend that a request reached or that refused a connection, if the record tells of one.
 pub fn at_dead(record: &Record, dead: &Spans) -> Option<String> {
     let host = match &record.kind {
         RecordKind::Arrived { .. } => record.component.clone(),
@@ -51,17 +53,17 @@
     within.then_some(host)
 }
 
-/// The most that a cold backend was offered in a window, by what it could bear then; and the first time at which that
-/// pushed it over, with how much was offered and what it could bear.
-pub struct Heaviest {
+/// The highest load offered to a cold backend in a window, as a ratio to its capacity at that time; and the
+/// first time at which the load overloaded it, with the number of requests and the capacity.
+pub struct PeakColdLoad {
     pub most: f64,
     pub over: Option<(At, usize, f64)>,
 }
 
-/// `offered` in order of time; `from` is its start, `until` its end or that of its warming.
-pub fn heaviest(offered: &[At], (from, until): (At, At), tier: &Tier, cores: usize) -> Heaviest {
+/// `offered` is sorted by time; `from` is the backend's start, `until` its end or the end of its slow start.
+pub fn peak_cold_load(offered: &[At], (from, until): (At, At), tier: &Tier, cores: usize) -> PeakColdLoad {
     let window = tier.fall_window;
-    let mut found = Heaviest { most: 0.0, over: None };
+    let mut found = PeakColdLoad { most: 0.0, over: None };
     for (n, at) in offered.iter().enumerate().filter(|(_, at)| **at > from + window && **at <= until) {
         let first = offered[..n].partition_point(|earlier| at.since(*earlier) > window);
         let bearable = tier.fall_window_capacity(cores, at.since(from));
@@ -74,33 +76,33 @@
     found
 }
 
-/// Largest over mean; nothing where there is too little to tell.
+/// The largest count divided by the mean; 0 if there are too few requests to compare.
 fn spread(counts: &[f64], requests: u64) -> f64 {
     let mean = counts.iter().sum::<f64>() / counts.len().max(1) as f64;
-    if counts.len() < 2 || requests < LEAST_EVEN || mean <= 0.0 {
+    if counts.len() < 2 || requests < MIN_REQUESTS_FOR_SPREAD || mean <= 0.0 {
         return 0.0;
     }
     counts.iter().fold(0.0, |most: f64, count| most.max(*count)) / mean
 }
 
-struct Gathered<'a> {
+struct RunEvents<'a> {
     scenario: &'a Scenario,
     start: At,
     end: At,
-    /// Requests as they came to backends: when, by which proxy, where.
-    forwards: Vec<(At, &'a str, &'a str)>,
-    /// What befell a part: it is not counted among those that nothing befell.
-    befallen: BTreeSet<&'a str>,
-    /// Comings and goings, and of whom.
-    moves: Vec<(At, &'a str)>,
-    /// Intents by when they were meant: honoured or not.
-    overs: Vec<(At, bool)>,
-    /// Moments from which no fault is on any more.
-    calm: Vec<At>,
+    /// Attempts that arrived at backends: time, proxy, backend.
+    attempts: Vec<(At, &'a str, &'a str)>,
+    /// Components affected by a fault or a restart, which the spreads exclude.
+    affected: BTreeSet<&'a str>,
+    /// Membership changes: time and component.
+    membership_changes: Vec<(At, &'a str)>,
+    /// Intents by planned time, and whether they were served.
+    intents: Vec<(At, bool)>,
+    /// Times at which a fault ended.
+    fault_ends: Vec<At>,
     first_fault: Option<At>,
 }
 
-fn gather<'a>(records: &'a [Record], scenario: &'a Scenario, start: At) -> Gathered<'a> {
+fn collect_events<'a>(records: &'a [Record], scenario: &'a Scenario, start: At) -> RunEvents<'a> {
     let end = start + scenario.duration;
     let mut by: BTreeMap<&str, &str> = BTreeMap::new();
     for record in records {
@@ -108,62 +110,74 @@
             by.insert(id, to);
         }
     }
-    let (forwards, befallen, moves, overs, calm) = Default::default();
-    let mut g = Gathered { scenario, start, end, forwards, befallen, moves, overs, calm, first_fault: None };
+    let (attempts, affected, membership_changes, intents, fault_ends) = Default::default();
+    let mut events = RunEvents {
+        scenario,
+        start,
+        end,
+        attempts,
+        affected,
+        membership_changes,
+        intents,
+        fault_ends,
+        first_fault: None,
+    };
     let mut on: BTreeMap<&str, i32> = BTreeMap::new();
-    let mut away: BTreeSet<&str> = BTreeSet::new();
+    let mut down_proxies: BTreeSet<&str> = BTreeSet::new();
     for record in records {
-        let (t, before) = (record.t, on.values().sum::<i32>() as usize + away.len());
+        let (t, before) = (record.t, on.values().sum::<i32>() as usize + down_proxies.len());
         match &record.kind {
             RecordKind::Arrived { id, .. } => {
                 if let Some(proxy) = by.get(id.as_str()).filter(|_| t < end) {
-                    g.forwards.push((t, proxy, &record.component));
+                    events.attempts.push((t, proxy, &record.component));
                 }
             }
-            RecordKind::IntentFinished { due, honoured, .. } => g.overs.push((*due, *honoured)),
+            RecordKind::IntentFinished { due, honoured, .. } => events.intents.push((*due, *honoured)),
             RecordKind::Fault { on: begins, fault, befalls, text } => {
-                g.befallen.insert(befalls);
+                events.affected.insert(befalls);
                 if *begins {
-                    g.first_fault.get_or_insert(t);
+                    events.first_fault.get_or_insert(t);
                 }
                 *on.entry(text).or_default() += if *begins { 1 } else { -1 };
                 if fault.is_some_and(|fault| fault.changes_membership()) && t < end {
-                    g.moves.push((t, befalls));
+                    events.membership_changes.push((t, befalls));
                 }
             }
             RecordKind::ProxyDown { proxy, how } => {
-                g.befallen.insert(proxy);
+                events.affected.insert(proxy);
                 if how != "shrink" {
-                    away.insert(proxy);
+                    down_proxies.insert(proxy);
                 }
             }
             RecordKind::ProxyUp { proxy } if t > start => {
-                g.befallen.insert(proxy);
-                away.remove(proxy.as_str());
+                events.affected.insert(proxy);
+                down_proxies.remove(proxy.as_str());
             }
-            RecordKind::Stopped { .. } if t < end => drop(g.befallen.insert(&record.component)),
+            RecordKind::Stopped { .. } if t < end => drop(events.affected.insert(&record.component)),
             _ => {}
         }
-        // What lasts for ever is part of how things are: it keeps nobody from being back.
-        let now = on.values().sum::<i32>().max(0) as usize + away.len();
+        // A fault without an end doesn't count as active: it is part of the normal state and doesn't block
+        // recovery.
+        let now = on.values().sum::<i32>().max(0) as usize + down_proxies.len();
         if before > 0 && now < before && t > start && t < end {
-            g.calm.push(t);
+            events.fault_ends.push(t);
         }
     }
-    g.overs.sort();
-    g.moves.sort();
-    g.moves.dedup_by(|later, earlier| later.0.since(earlier.0) < SETTLE);
-    g
+    events.intents.sort();
+    events.membership_changes.sort();
+    events.membership_changes.dedup_by(|later, earlier| later.0.since(earlier.0) < SETTLE_TIME);
+    events
 }
 
-impl Gathered<'_> {
+impl RunEvents<'_> {
     fn between(&self, from: At, to: At) -> &[(At, &str, &str)] {
-        let place = |at: At| self.forwards.partition_point(|(t, _, _)| *t < at);
-        &self.forwards[place(from)..place(to).max(place(from))]
+        let index_at = |at: At| self.attempts.partition_point(|(t, _, _)| *t < at);
+        &self.attempts[index_at(from)..index_at(to).max(index_at(from))]
     }
 
-    /// The part of the proxies' requests in the second window that goes where they sent nothing in the first.
-    fn new_in(&self, first: (At, At), second: (At, At), but: &str) -> Option<f64> {
+    /// The share of the proxies' requests in the second window that goes to backends they didn't use in the
+    /// first.
+    fn new_target_share(&self, first: (At, At), second: (At, At), excluded: &str) -> Option<f64> {
         let mut used: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
         let mut count: BTreeMap<&str, usize> = BTreeMap::new();
         for (_, proxy, host) in self.between(first.0, first.1) {
@@ -172,8 +186,9 @@
         }
         let (mut all, mut new) = (0, 0);
         for (_, proxy, host) in self.between(second.0, second.1) {
-            let enough =
-                count.get(proxy).is_some_and(|n| *n >= LEAST_REQUESTS) && *proxy != but && *host != but;
+            let enough = count.get(proxy).is_some_and(|n| *n >= MIN_REQUESTS_PER_PROXY)
+                && *proxy != excluded
+                && *host != excluded;
             all += usize::from(enough);
             new += usize::from(enough && !used.get(proxy).is_some_and(|used| used.contains(host)));
         }
@@ -183,49 +198,49 @@
     fn moved(&self) -> (f64, f64) {
         let mean = |all: Vec<f64>| all.iter().fold(0.0, |sum, part| sum + part) / all.len().max(1) as f64;
         let (mut moved, mut calm) = (Vec::new(), Vec::new());
-        for (at, subject) in &self.moves {
-            let (at, gap) = (*at, SETTLE + BEFORE);
-            if at.since(self.start) < BEFORE + gap || at + gap > self.end {
+        for (at, subject) in &self.membership_changes {
+            let (at, gap) = (*at, SETTLE_TIME + MOVE_WINDOW);
+            if at.since(self.start) < MOVE_WINDOW + gap || at + gap > self.end {
                 continue;
             }
-            let before = (at - BEFORE, at);
-            moved.extend(self.new_in(before, (at + SETTLE, at + gap), subject));
-            calm.extend(self.new_in((at - gap - BEFORE, at - gap), before, subject));
+            let before = (at - MOVE_WINDOW, at);
+            moved.extend(self.new_target_share(before, (at + SETTLE_TIME, at + gap), subject));
+            calm.extend(self.new_target_share((at - gap - MOVE_WINDOW, at - gap), before, subject));
         }
         (mean(moved), mean(calm))
     }
 
-    fn share(&self, from: At, to: At) -> Option<f64> {
-        let place = |at: At| self.overs.partition_point(|(due, _)| *due < at);
-        let own = &self.overs[place(from)..place(to).max(place(from))];
+    fn served_share(&self, from: At, to: At) -> Option<f64> {
+        let index_at = |at: At| self.intents.partition_point(|(due, _)| *due < at);
+        let own = &self.intents[index_at(from)..index_at(to).max(index_at(from))];
         (own.len() >= 5)
             .then(|| own.iter().filter(|(_, honoured)| *honoured).count() as f64 / own.len() as f64)
     }
 
-    fn back(&self) -> f64 {
+    fn recovery_s(&self) -> f64 {
         let Some(first) = self.first_fault else { return 0.0 };
-        let wanted = self.share(self.start, first).unwrap_or(1.0) * BACK;
+        let wanted = self.served_share(self.start, first).unwrap_or(1.0) * RECOVERED_RATIO;
         let back = |from: &At| {
             let mut at = *from;
-            while at + BACK_WINDOW <= self.end {
-                if self.share(at, at + BACK_WINDOW).is_none_or(|share| share >= wanted) {
+            while at + RECOVERY_WINDOW <= self.end {
+                if self.served_share(at, at + RECOVERY_WINDOW).is_none_or(|share| share >= wanted) {
                     return at.since(*from).secs();
                 }
-                at = at + BACK_STEP;
+                at = at + RECOVERY_STEP;
             }
             self.end.since(*from).secs()
         };
-        self.calm.iter().map(back).fold(0.0, f64::max)
+        self.fault_ends.iter().map(back).fold(0.0, f64::max)
     }
 
     fn backend_spread(&self) -> f64 {
         let of = |tier: &Tier| {
             let host = |n: usize| format!("{}/s-{n}", tier.name);
             let hosts: Vec<_> = (0..tier.backends).map(|n| (n, host(n))).collect();
-            let hosts = hosts.into_iter().filter(|(_, host)| !self.befallen.contains(host.as_str()));
+            let hosts = hosts.into_iter().filter(|(_, host)| !self.affected.contains(host.as_str()));
             let mut counts: BTreeMap<String, (f64, u64)> =
                 hosts.map(|(n, host)| (host, (tier.size(n), 0))).collect();
-            for (_, _, host) in &self.forwards {
+            for (_, _, host) in &self.attempts {
                 if let Some((_, count)) = counts.get_mut(*host) {
                     *count += 1;
                 }
@@ -243,26 +258,26 @@
                 *counts.entry(to).or_default() += 1;
             }
         }
-        counts.retain(|proxy, _| !self.befallen.contains(proxy));
+        counts.retain(|proxy, _| !self.affected.contains(proxy));
         let all: Vec<f64> = counts.values().map(|count| *count as f64).collect();
         spread(&all, counts.values().sum())
     }
 }
 
-/// All facts of a run that began at `start`.
+/// All fleet figures of a run that began at `start`.
 pub fn compute(records: &[Record], scenario: &Scenario, start: At) -> FleetFigures {
     let end = start + scenario.duration;
     let mut f = FleetFigures::default();
     let dead = dead(records, end);
     let mut offered: BTreeMap<&str, Vec<At>> = BTreeMap::new();
     let (mut starts, mut stops) = (Vec::new(), Vec::new());
-    let mut at_deads: BTreeMap<String, Vec<At>> = BTreeMap::new();
+    let mut requests_at_dead: BTreeMap<String, Vec<At>> = BTreeMap::new();
     let mut talk: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let (half, mut late_talk) = (start + scenario.duration.scaled(0.5), BTreeMap::<&str, u64>::new());
-    let (mut cost, mut proxies, mut cpu_ms, mut woken) = ((0.0, 0.0), 0u64, 0.0, 0.0);
+    let (mut cost, mut proxies, mut cpu_ms, mut wakeups_per_s) = ((0.0, 0.0), 0u64, 0.0, 0.0);
     for record in records {
         if let Some(host) = at_dead(record, &dead) {
-            at_deads.entry(host).or_default().push(record.t);
+            requests_at_dead.entry(host).or_default().push(record.t);
         }
         match &record.kind {
             RecordKind::Arrived { .. } => offered.entry(&record.component).or_default().push(record.t),
@@ -279,7 +294,7 @@
                 let seconds = (*over_us as f64 / 1e6).max(1.0);
                 proxies += 1;
                 cpu_ms += *cpu_us as f64 / 1000.0 / seconds;
-                woken += *wakeups as f64 / seconds;
+                wakeups_per_s += *wakeups as f64 / seconds;
                 cost.0 += *memory as f64 / f64::from(1 << 20);
                 cost.1 = f64::max(cost.1, *descriptors as f64);
             }
@@ -288,8 +303,8 @@
     }
     for (host, spans) in &dead {
         for (from, to) in spans {
-            let own = at_deads.get(host).map_or(&[][..], |all| all.as_slice());
-            let settled = (*from + FINDING_OUT).min(*to);
+            let own = requests_at_dead.get(host).map_or(&[][..], |all| all.as_slice());
+            let settled = (*from + DEATH_DETECTION_TIME).min(*to);
             let within = |a: At, b: At| own.iter().filter(|at| **at >= a && **at < b).count() as u64;
             f.dead_first = f.dead_first.max(within(*from, settled));
             let left = to.since(settled);
@@ -305,7 +320,7 @@
             stops.iter().find(|(h, at)| h == host && at > from).map_or(end, |(_, at)| *at + Micros(1));
         let until = (*from + tier.cold_ramp).min(ended);
         let own = offered.get(host.as_str()).map_or(&[][..], |all| all.as_slice());
-        f.cold_most = f.cold_most.max(heaviest(own, (*from, until), tier, tier.core_count(n)).most);
+        f.cold_most = f.cold_most.max(peak_cold_load(own, (*from, until), tier, tier.core_count(n)).most);
     }
     let seconds = scenario.duration.secs().max(1e-6);
     f.talk_per_s = talk.values().map(|(sent, _)| *sent as f64 / seconds).fold(0.0, f64::max);
@@ -315,14 +330,14 @@
     let sent: u64 = talk.values().map(|(sent, _)| sent).sum();
     f.talk_mean_per_s = sent as f64 / seconds / talk.len().max(1) as f64;
     let count = proxies.max(1) as f64;
-    (f.proxy_cpu_ms, f.proxy_wakeups) = (cpu_ms / count, woken / count);
+    (f.proxy_cpu_ms, f.proxy_wakeups) = (cpu_ms / count, wakeups_per_s / count);
     (f.proxy_mib, f.proxy_descriptors) = (cost.0 / count, cost.1);
     membership_figures::fill(records, (start, end), &mut f);
     duty_figures::fill(records, end, &mut f);
-    let gathered = gather(records, scenario, start);
-    (f.moved, f.moved_calm) = gathered.moved();
-    f.backend_spread = gathered.backend_spread();
-    f.proxy_spread = gathered.proxy_spread(records);
-    f.back_s = gathered.back();
+    let events = collect_events(records, scenario, start);
+    (f.moved, f.moved_calm) = events.moved();
+    f.backend_spread = events.backend_spread();
+    f.proxy_spread = events.proxy_spread(records);
+    f.back_s = events.recovery_s();
     f
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The lab: a model of the systems that the proxy serves. It starts stand-ins of callers, backends, agents and
-//! links round real proxies, plays faults by a plan and a seed, and judges the four rules by what the two sides
-//! saw. See `docs/design/lab.md`.
+//! The lab: a test bed that models the systems around the proxy. It starts simulated clients, backends,
+//! agents and links around real proxies, injects faults from a plan and a seed, and checks the rules against
+//! the records of clients and backends. See `docs/design/lab.md`.
 
 pub mod agent;
 pub mod arrivals;
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,5 +1,5 @@
-//! What the parts write down as it happens, one JSON object a line. The ledger and the reports read nothing
-//! else; `docs/operate/lab.md` lists the fields.
+//! The event records that the lab's components write, one JSON object per line. The rule checks and the
+//! reports read nothing else; `docs/operate/lab.md` lists the fields.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufRead, BufReader, Write};
@@ -23,7 +23,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum RecordKind {
-    /// A client wrote the last byte of a request. `due` is when it meant to send the first try.
+    /// A client wrote the last byte of a request. `due` is the planned time of its first
+    /// attempt.
     Sent {
         id: String,
         intent: u64,
@@ -33,42 +34,42 @@
         cut_off: At,
         try_no: u16,
     },
-    /// The same request again, since its kept connection was closed before anything of an answer came.
+    /// The same request is sent again, since its kept-alive connection closed before any byte of a response.
     #[serde(rename = "sent_again")]
     Resent {
         id: String,
     },
-    /// A whole answer came.
+    /// A complete response arrived.
     #[serde(rename = "answered")]
     ResponseReceived {
         id: String,
         status: u16,
         retry_after_ms: Option<f64>,
     },
-    /// The connection ended with no whole answer.
+    /// The connection ended without a complete response.
     #[serde(rename = "lost")]
     ConnectionLost {
         id: String,
         how: String,
     },
-    /// The client stopped waiting, of its own accord or when its time was up.
+    /// The client stopped waiting, of its own accord (`own`) or when its deadline passed.
     GaveUp {
         id: String,
         own: bool,
     },
-    /// The request never went out whole.
+    /// The request was never sent completely.
     #[serde(rename = "not_taken")]
     SendIncomplete {
         id: String,
         why: String,
     },
-    /// Bytes came that no request asked for.
+    /// Bytes arrived that belong to no request's response.
     #[serde(rename = "unasked")]
     UnsolicitedBytes {
         id: String,
         bytes: usize,
     },
-    /// An intent of a client is over, with or without an answer that counts.
+    /// A client's intent (a planned request with its retries) ended, served (`honoured`) or not.
     #[serde(rename = "over")]
     IntentFinished {
         intent: u64,
@@ -78,7 +79,7 @@
         tries: u16,
     },
 
-    /// A backend's process started; cold from now on unless it says warm.
+    /// A backend's process started, cold unless `warm` is set.
     Started {
         warm: bool,
         life: u32,
@@ -86,7 +87,7 @@
     Stopped {
         how: String,
     },
-    /// A request came whole; `first` is when its first byte came.
+    /// A complete request arrived; `first` is when its first byte arrived.
     Arrived {
         id: String,
         first: At,
@@ -105,13 +106,13 @@
         id: String,
         status: u16,
     },
-    /// Its caller went away before it ended.
+    /// The client went away before the request ended.
     #[serde(rename = "dropped")]
     CallerGone {
         id: String,
         began: bool,
     },
-    /// A backend calls the next tier, through a proxy.
+    /// A backend calls the next tier through a proxy.
     #[serde(rename = "called")]
     CallSent {
         id: String,
@@ -123,14 +124,15 @@
         id: String,
         status: u16,
     },
-    /// It was pushed over while cold.
+    /// The backend was overloaded while cold.
     #[serde(rename = "fell")]
     Overloaded {
         offered: f64,
         bearable: f64,
     },
 
-    /// An agent has for a proxy, or wrote to it, what became of a backend: either counts as told.
+    /// An agent has a backend's new state ready for a proxy or has written it to the proxy; either counts as
+    /// announced.
     #[serde(rename = "told")]
     HealthReported {
         proxy: String,
@@ -139,7 +141,7 @@
         seq: u64,
     },
 
-    /// A link was cut or mended, or the connections of a proxy's life ended.
+    /// A link was cut or restored, or the connections of a proxy process ended.
     Cut {
         link: String,
         how: String,
@@ -148,7 +150,7 @@
     Restored {
         link: String,
     },
-    /// A proxy's process.
+    /// A proxy's process started or resumed.
     ProxyUp {
         proxy: String,
     },
@@ -165,10 +167,11 @@
         #[serde(default)]
         befalls: String,
     },
-    /// A connection through a link did not come up on its far side.
+    /// A connection through a link could not be established on its far side.
     #[serde(rename = "not_up")]
     ConnectFailed,
-    /// What a proxy sent to others since it was last told of, and what of that was lost on the way.
+    /// Datagrams and bytes that a proxy sent to others since the last such record, and the datagrams lost on
+    /// the way.
     #[serde(rename = "talk")]
     PeerTraffic {
         proxy: String,
@@ -176,7 +179,8 @@
         bytes: u64,
         lost: u64,
     },
-    /// Whom a proxy sees there, itself included, whom it holds dead, and by how many it divides.
+    /// The members that a proxy sees present, itself included, those that it considers dead, and the member
+    /// count by which it divides.
     #[serde(rename = "view")]
     MembershipView {
         proxy: String,
@@ -184,7 +188,7 @@
         dead: Vec<String>,
         counted: u64,
     },
-    /// A proxy says that it holds a duty; the answer took so long, in microseconds.
+    /// A proxy reported that it holds a duty; its response took `took` microseconds.
     #[serde(rename = "duty")]
     DutyHeld {
         proxy: String,
@@ -192,26 +196,27 @@
         term: u64,
         took: i64,
     },
-    /// A tier's way between proxies ran so late itself that the run tells nothing.
+    /// A tier's simulated network between proxies ran so late that the run is invalid.
     #[serde(rename = "void")]
     RunInvalid {
         text: String,
     },
-    /// The lab's own lateness: how much later than meant its timers ran.
+    /// Lateness of the lab's own timers.
     #[serde(rename = "late")]
     TimerLateness {
         p99_us: i64,
         max_us: i64,
     },
-    /// What a proxy used of the processor under load, in microseconds, and what of the memory was its own before
-    /// the load and after it, in bytes.
+    /// A proxy's processor time under load, in microseconds, and its private memory before and after the
+    /// load, in bytes.
     #[serde(rename = "used")]
     ResourceUsage {
         proxy: String,
         cpu_us: u64,
         memory_before: u64,
         memory: u64,
-        /// How often it woke and over how long that and the processor time were taken; what it held then.
+        /// Number of wakeups; the time over which they and the processor time were measured, in microseconds;
+        /// and the open descriptors at the end.
         #[serde(default)]
         wakeups: u64,
         #[serde(default)]
@@ -219,7 +224,7 @@
         #[serde(default)]
         descriptors: u64,
     },
-    /// So many connections stand idle from here on.
+    /// This many connections are idle from now on.
     #[serde(rename = "idle")]
     IdleConnections {
         open: usize,
@@ -231,7 +236,7 @@
 }
 
 impl RecordKind {
-    /// The request that it speaks of.
+    /// The request that the record concerns, if any.
     pub fn id(&self) -> Option<&str> {
         use RecordKind::*;
         match self {
@@ -253,35 +258,35 @@
     }
 }
 
-/// Writes each record at once: guards against losing what a killed part had seen.
+/// Writes each record immediately, so that the records of a killed component are not lost.
 #[derive(Clone)]
 pub struct Recorder {
     file: Arc<File>,
-    part: String,
+    component: String,
 }
 
 impl Recorder {
-    pub fn open(path: &Path, part: &str) -> io::Result<Recorder> {
+    pub fn open(path: &Path, component: &str) -> io::Result<Recorder> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
-        Ok(Recorder { file: Arc::new(file), part: part.to_string() })
+        Ok(Recorder { file: Arc::new(file), component: component.to_string() })
     }
 
-    pub fn named(&self, part: &str) -> Recorder {
-        Recorder { file: self.file.clone(), part: part.to_string() }
+    pub fn named(&self, component: &str) -> Recorder {
+        Recorder { file: self.file.clone(), component: component.to_string() }
     }
 
-    pub fn write(&self, t: At, what: RecordKind) {
-        let record = Record { t, component: self.part.clone(), kind: what };
+    pub fn write(&self, t: At, kind: RecordKind) {
+        let record = Record { t, component: self.component.clone(), kind };
         let Ok(mut line) = serde_json::to_vec(&record) else { return };
         line.push(b'\n');
-        // One call a record: lines of several writers do not mix in an appended file.
+        // One write call per record: lines of several writers do not mix in a file opened for appending.
         if let Err(e) = (&*self.file).write_all(&line) {
-            tracing::error!(error = %e, "a record could not be written");
+            tracing::error!(error = %e, "cannot write a record");
         }
     }
 }
 
-/// Reads all records of a file in the order of time. A last line that was cut short is left out.
+/// Reads all records of a file, sorted by time. A truncated last line is skipped.
 pub fn read(path: &Path) -> Result<Vec<Record>, String> {
     let file = File::open(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     let mut records = Vec::new();
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! One page for a run, with pictures, that needs nothing beside it; and two results set beside each other.
+//! Writes a self-contained HTML page with charts for a set of runs, and compares two results.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,32 +9,32 @@
 use crate::experiment::{Results, RunOutcome};
 use crate::record::{self, Record, RecordKind};
 use crate::run;
-use crate::run_figures::{self, Slice, SLICES};
+use crate::run_figures::{self, Slice, SLICE_COUNT};
 use crate::scenario_file::ScenarioFile;
 
-/// What is drawn of one run.
-pub struct Picture {
+/// The charts of one run.
+pub struct RunCharts {
     pub title: String,
     pub svgs: Vec<String>,
 }
 
-/// A fault's time in the pictures.
-struct Band {
+/// The time span of a fault, shaded in the charts.
+struct FaultBand {
     from: f64,
     to: f64,
     text: String,
 }
 
-pub fn pictures(runs: &[RunOutcome]) -> Result<Vec<Picture>, String> {
+pub fn pictures(runs: &[RunOutcome]) -> Result<Vec<RunCharts>, String> {
     let picture =
         |run: &RunOutcome| picture(&run.variant, run.seed, &run.ran.dir, run.ran.start, run.ran.duration);
     runs.iter().map(picture).collect()
 }
 
-/// From the records that a run has left.
-pub fn pictures_of(results: &Results, source: &ScenarioFile, out: &Path) -> Result<Vec<Picture>, String> {
-    let lasts = source.scenario(None, false)?.duration;
-    let lasts = if results.lasts_s > 0.0 { Micros::from_ms(results.lasts_s * 1000.0) } else { lasts };
+/// Draws the charts from the records of earlier runs.
+pub fn pictures_of(results: &Results, source: &ScenarioFile, out: &Path) -> Result<Vec<RunCharts>, String> {
+    let duration = source.scenario(None, false)?.duration;
+    let duration = if results.lasts_s > 0.0 { Micros::from_ms(results.lasts_s * 1000.0) } else { duration };
     let one = |run: &crate::experiment::RunResult| {
         let dir = run::run_dir(out, &run.variant, run.seed);
         let records = record::read(&run::records_path(&dir))?;
@@ -42,23 +42,23 @@
             RecordKind::Sent { due, .. } => Some(*due),
             _ => None,
         });
-        picture(&run.variant, run.seed, &dir, first.unwrap_or_default(), lasts)
+        picture(&run.variant, run.seed, &dir, first.unwrap_or_default(), duration)
     };
     results.runs.iter().map(one).collect()
 }
 
-fn picture(variant: &str, seed: u64, dir: &Path, start: At, lasts: Micros) -> Result<Picture, String> {
+fn picture(variant: &str, seed: u64, dir: &Path, start: At, duration: Micros) -> Result<RunCharts, String> {
     let records = record::read(&run::records_path(dir))?;
-    let slices = run_figures::slices(&records, start, lasts);
-    let bands = bands(&records, start, lasts);
-    let seconds = lasts.secs();
-    let rate = SLICES as f64 / seconds;
+    let slices = run_figures::slices(&records, start, duration);
+    let bands = bands(&records, start, duration);
+    let seconds = duration.secs();
+    let rate = SLICE_COUNT as f64 / seconds;
     let line = |name: &str, value: &dyn Fn(&Slice) -> f64| -> Line {
         let points = slices.iter().enumerate();
         (name.to_string(), points.map(|(n, slice)| ((n as f64 + 0.5) / rate, value(slice))).collect())
     };
     let mut latency = [line("p50", &|s| s.p50_ms), line("p99", &|s| s.p99_ms)];
-    // Where nothing was honoured there is no latency, and none is drawn.
+    // A slice without served requests has no latency, so no point is drawn.
     latency.iter_mut().for_each(|(_, points)| points.retain(|(_, ms)| *ms > 0.0));
     let outcomes = [
         line("honoured", &|s| s.honoured as f64 * rate),
@@ -75,17 +75,20 @@
         chart("Answers a second", seconds, &outcomes, &bands)?,
         chart("Held by each backend", seconds, &held, &bands)?,
     ];
-    let mut more = |title: &str, lines: &[Line]| -> Result<(), String> {
+    let mut add_chart_if_any = |title: &str, lines: &[Line]| -> Result<(), String> {
         if lines.iter().any(|(_, points)| points.iter().any(|(_, y)| *y > 0.0)) {
             svgs.push(chart(title, seconds, lines, &bands)?);
         }
         Ok(())
     };
-    more(
+    add_chart_if_any(
         "Requests a second at dead backends, from all",
         &[line("at dead backends", &|s| s.dead as f64 * rate)],
     )?;
-    more("Datagrams a second between proxies, of all", &[line("datagrams", &|s| s.talk as f64 * rate)])?;
+    add_chart_if_any(
+        "Datagrams a second between proxies, of all",
+        &[line("datagrams", &|s| s.talk as f64 * rate)],
+    )?;
     let evenness = |of: fn(&Slice) -> &BTreeMap<String, u64>| {
         move |s: &Slice| {
             let counts: Vec<f64> = of(s).values().map(|count| *count as f64).collect();
@@ -95,21 +98,21 @@
     };
     let (backends, proxies) = (evenness(|s| &s.came), evenness(|s| &s.sent));
     let lines = [line("backends", &backends), line("proxies", &proxies)];
-    more("Load, largest over mean", &lines)?;
+    add_chart_if_any("Load, largest over mean", &lines)?;
     let limits = limits(dir, start);
     if !limits.is_empty() {
         svgs.push(chart("The limit, as the proxies' logs tell it", seconds, &limits, &bands)?);
     }
-    Ok(Picture { title: format!("{variant}, seed {seed}"), svgs })
+    Ok(RunCharts { title: format!("{variant}, seed {seed}"), svgs })
 }
 
-fn bands(records: &[Record], start: At, lasts: Micros) -> Vec<Band> {
-    let mut bands: Vec<Band> = Vec::new();
+fn bands(records: &[Record], start: At, duration: Micros) -> Vec<FaultBand> {
+    let mut bands: Vec<FaultBand> = Vec::new();
     let second = |t: At| (t.0 - start.0) as f64 / 1e6;
     for record in records {
         match &record.kind {
             RecordKind::Fault { text, on: true, .. } => {
-                bands.push(Band { from: second(record.t), to: f64::NAN, text: text.clone() });
+                bands.push(FaultBand { from: second(record.t), to: f64::NAN, text: text.clone() });
             }
             RecordKind::Fault { text, on: false, .. } => {
                 let open = bands.iter_mut().find(|band| band.to.is_nan() && band.text == *text);
@@ -120,17 +123,17 @@
             _ => {}
         }
     }
-    // What has no end is an event, not a state.
+    // A fault without an end is drawn as a narrow band.
     bands
         .iter_mut()
         .filter(|band| band.to.is_nan())
-        .for_each(|band| band.to = band.from + lasts.secs() / 200.0);
+        .for_each(|band| band.to = band.from + duration.secs() / 200.0);
     bands
 }
 
 type Line = (String, Vec<(f64, f64)>);
 
-/// The limit as the proxies' lines on a change of mode tell it.
+/// The limit over time, read from the proxies' log lines on a change of mode.
 fn limits(dir: &Path, start: At) -> Vec<Line> {
     let files = std::fs::read_dir(dir).into_iter().flatten().flatten().map(|entry| entry.path());
     let mut lines = Vec::new();
@@ -138,7 +141,7 @@
         let text = std::fs::read_to_string(&path).unwrap_or_default();
         let point = |line: &str| {
             let limit = line.split_once("limit ")?.1.split([',', ' ']).next()?.parse().ok()?;
-            Some((unix_second(line.split(' ').next()?)? - world_second(start), limit))
+            Some((unix_seconds(line.split(' ').next()?)? - start_unix_seconds(start), limit))
         };
         let points: Vec<(f64, f64)> = text.lines().filter_map(point).collect();
         if points.len() > 1 {
@@ -149,18 +152,18 @@
     lines
 }
 
-fn world_second(start: At) -> f64 {
+fn start_unix_seconds(start: At) -> f64 {
     crate::agent::unix_ms(start) / 1000.0
 }
 
 /// Seconds since 1970 of a time such as `2026-12-01T12:00:00.000000Z`.
-fn unix_second(text: &str) -> Option<f64> {
+fn unix_seconds(text: &str) -> Option<f64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.split('-').map(|part| part.parse::<i64>().ok());
     let (year, month, day) = (date.next()??, date.next()??, date.next()??);
     let mut time = time.split(':').map(|part| part.parse::<f64>().ok());
     let (hour, minute, second) = (time.next()??, time.next()??, time.next()??);
-    // Days from the civil calendar, with March as the first month.
+    // Converts a civil date into days since 1970, with March as the first month of the year.
     let (y, m) = if month > 2 { (year, month - 3) } else { (year - 1, month + 9) };
     let (era, of_era) = (y.div_euclid(400), y.rem_euclid(400));
     let day_of_year = (153 * m + 2) / 5 + day - 1;
@@ -168,7 +171,7 @@
     Some(days as f64 * 86_400.0 + hour * 3600.0 + minute * 60.0 + second)
 }
 
-fn chart(title: &str, seconds: f64, lines: &[Line], bands: &[Band]) -> Result<String, String> {
+fn chart(title: &str, seconds: f64, lines: &[Line], bands: &[FaultBand]) -> Result<String, String> {
     let mut svg = String::new();
     let most = lines.iter().flat_map(|(_, points)| points.iter().map(|(_, y)| *y)).fold(1.0, f64::max) * 1.08;
     {
@@ -184,7 +187,7 @@
             .map_err(|e| draw(&e))?;
         let mesh = chart.configure_mesh().light_line_style(WHITE).x_desc("s").draw();
         mesh.map_err(|e| draw(&e))?;
-        let band = |band: &Band| {
+        let band = |band: &FaultBand| {
             let corners = [(band.from.max(0.0), 0.0), (band.to.min(seconds), most)];
             Rectangle::new(corners, RGBColor(230, 120, 60).mix(0.16).filled())
         };
@@ -212,7 +215,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-pub fn page(results: &Results, pictures: &[Picture]) -> String {
+pub fn page(results: &Results, pictures: &[RunCharts]) -> String {
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}</title><style>\
          body{{font:14px/1.5 sans-serif;margin:2em;max-width:1640px}}pre{{background:#f5f5f2;padding:1em;overflow:auto}}\
@@ -235,7 +238,7 @@
     out + "</div></html>\n"
 }
 
-/// The figures of two results, by variant, as means over their seeds.
+/// A table of the figures of two results by variant, as means over the seeds.
 pub fn compare(a: &Results, b: &Results) -> String {
     use crate::figures::FIGURES;
     let means = |results: &Results| {
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -1,5 +1,5 @@
-//! Joins what callers, backends and agents saw, and judges the four rules by it. It reads nothing that a proxy
-//! says of itself.
+//! Joins the records of clients, backends and agents by request and checks the rules against them. Nothing
+//! that a proxy reports about itself is used.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,26 +8,27 @@
 use crate::record::{Record, RecordKind};
 use crate::scenario::{Effect, Group, Scenario, Tier};
 
-/// The rules' own allowance on sockets, on top of which comes what the lab itself was late by.
-const ALLOWANCE: Micros = Micros::from_millis(50);
-/// A kept connection that ended so soon under a request was being closed as the request was on its way.
-const CROSSING: Micros = Micros::from_millis(20);
-/// Beyond this lateness of its own the lab's judgement of times is not to be trusted.
-const TOO_LATE: Micros = Micros::from_millis(40);
-/// How long a turn of a slowed proxy is, stopped and running.
+/// Tolerance of the rules for time on sockets; the lateness of the lab's own timers is added to it.
+const SOCKET_TOLERANCE: Micros = Micros::from_millis(50);
+/// If a kept-alive connection ends within this time of a request, the proxy was closing it while the request
+/// was in transit.
+const CLOSE_RACE_WINDOW: Micros = Micros::from_millis(20);
+/// If the p99 lateness of the lab's own timers exceeds this, its time checks are unreliable.
+const MAX_RELIABLE_LATENESS: Micros = Micros::from_millis(40);
+/// Length of one cycle of a slowed proxy, its paused and its running part together.
 pub const SLOW_PROXY_PERIOD: Micros = Micros::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each taken request has one final answer before its cut-off, and nothing after.
+    /// Each accepted request gets exactly one final response before its deadline, and no bytes after it.
     OneResponse,
-    /// What may run only once runs once, and never after it was turned back.
+    /// A request that may run only once runs once, and does not run if it was refused.
     OneExecution,
-    /// Nothing new goes to a backend once its drain was told, past the grace.
+    /// A backend gets no new requests once the grace period after the announcement of its drain is over.
     DrainGrace,
-    /// No cold backend is pushed over.
+    /// No cold backend is overloaded.
     SlowStart,
-    /// A proxy's process ended without being told to.
+    /// No proxy process ends without being told to.
     NoCrash,
 }
 
@@ -49,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Breach {
     pub rule: Rule,
-    /// The request, if it is about one.
+    /// The request concerned, if any.
     pub id: Option<String>,
     pub at: At,
     pub text: String,
@@ -58,23 +59,23 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub breaches: Vec<Breach>,
-    /// Requests that were judged.
-    pub taken: usize,
-    /// Requests with no answer for which a kill or a cut of the plan answers.
+    /// Requests that were checked.
+    pub accepted: usize,
+    /// Requests whose missing or late response is explained by a planned fault, such as a kill or a cut link.
     pub excused: usize,
-    /// Requests that crossed the close of a kept connection.
-    pub crossed: usize,
-    /// How late the lab's own timers were.
+    /// Requests in transit while the proxy closed their kept-alive connection.
+    pub close_races: usize,
+    /// Maximum and p99 lateness of the lab's own timers.
     pub late: Micros,
     pub late_p99: Micros,
-    /// Why the run tells nothing, if so: what the lab put between proxies was itself at fault.
+    /// Why the run is invalid, if it is: the lab's simulated network between proxies ran late itself.
     pub void: Option<String>,
 }
 
 impl Verdict {
-    /// Whether the machine was too busy for times to be judged.
+    /// Whether the machine was too busy for time checks to be reliable.
     pub fn unsure(&self) -> bool {
-        self.late_p99 > TOO_LATE
+        self.late_p99 > MAX_RELIABLE_LATENESS
     }
 }
 
@@ -84,91 +85,92 @@
     to: String,
     sent: At,
     cut_off: At,
-    answers: Vec<(At, u16)>,
+    responses: Vec<(At, u16)>,
     lost: Option<(At, String)>,
     gave_up: Option<(At, bool)>,
-    unasked: bool,
-    /// The backend that called, for a call of a lower tier.
+    unsolicited: bool,
+    /// The calling backend, if this is a call to a lower tier.
     caller: Option<String>,
-    /// It was sent, and is not of those that never went out whole.
-    taken: bool,
+    /// The request was sent completely.
+    accepted: bool,
 }
 
 type Spans = BTreeMap<String, Vec<(At, At, String)>>;
 
 #[derive(Default)]
-struct Book {
+struct RequestLog {
     requests: BTreeMap<String, Request>,
-    begun: BTreeMap<String, Vec<(At, String)>>,
+    executions: BTreeMap<String, Vec<(At, String)>>,
     arrived: BTreeMap<String, Vec<(At, String)>>,
     offered: BTreeMap<String, Vec<At>>,
     dropped: BTreeSet<String>,
-    /// What each proxy was told of each backend: when, and whether it may be used.
-    told: BTreeMap<(String, String), Vec<(At, bool)>>,
-    /// The last word of an agent on each, which a new life of the proxy has been told from its first moment.
-    has: BTreeMap<(String, String), bool>,
-    downs: Spans,
-    cuts: Spans,
+    /// By proxy and backend: when the agent announced the backend's state, and whether it was ready.
+    announcements: BTreeMap<(String, String), Vec<(At, bool)>>,
+    /// By proxy and backend: the latest announced state, which a restarted proxy knows from its start.
+    latest_health: BTreeMap<(String, String), bool>,
+    downtimes: Spans,
+    link_cuts: Spans,
     starts: BTreeMap<String, Vec<(At, bool)>>,
-    /// When a backend's process ended.
+    /// When each backend's process ended.
     stops: BTreeMap<String, Vec<At>>,
     end: At,
 }
 
-fn open(spans: &mut Spans, name: &str, at: At, how: &str) {
+fn start_span(spans: &mut Spans, name: &str, at: At, how: &str) {
     spans.entry(name.to_string()).or_default().push((at, At(i64::MAX), how.to_string()));
 }
 
-fn shut(spans: &mut Spans, name: &str, at: At) {
+fn end_span(spans: &mut Spans, name: &str, at: At) {
     let open = spans.get_mut(name).into_iter().flatten().filter(|(_, to, _)| *to == At(i64::MAX));
     open.for_each(|span| span.1 = at);
 }
 
-impl Book {
-    fn of(records: &[Record]) -> Book {
-        let mut book = Book::default();
+impl RequestLog {
+    fn of(records: &[Record]) -> RequestLog {
+        let mut log = RequestLog::default();
         for record in records {
-            book.enter(record);
+            log.add(record);
         }
-        book
+        log
     }
 
     fn request(&mut self, id: &str) -> &mut Request {
         self.requests.entry(id.to_string()).or_default()
     }
 
-    fn enter(&mut self, record: &Record) {
+    fn add(&mut self, record: &Record) {
         let Record { t, component: part, kind: what } = record;
         let t = *t;
         self.end = self.end.max(t);
         match what {
             RecordKind::Sent { id, class, to, cut_off, .. } => {
-                let e = self.request(id);
-                (e.class, e.to, e.sent, e.cut_off, e.taken) = (class.clone(), to.clone(), t, *cut_off, true);
+                let request = self.request(id);
+                (request.class, request.to, request.sent, request.cut_off, request.accepted) =
+                    (class.clone(), to.clone(), t, *cut_off, true);
             }
             RecordKind::CallSent { id, to, cut_off, .. } => {
                 let (class, part) = (id.clone(), part.clone());
-                let e = self.request(id);
-                (e.class, e.to, e.sent, e.cut_off) = (class, to.clone(), t, *cut_off);
-                (e.caller, e.taken) = (Some(part), true);
+                let request = self.request(id);
+                (request.class, request.to, request.sent, request.cut_off) = (class, to.clone(), t, *cut_off);
+                (request.caller, request.accepted) = (Some(part), true);
             }
-            RecordKind::ResponseReceived { id, status, .. } => self.request(id).answers.push((t, *status)),
+            RecordKind::ResponseReceived { id, status, .. } => self.request(id).responses.push((t, *status)),
             RecordKind::CallEnded { id, status: 0 } => {
                 self.request(id).lost = Some((t, "a call's end".to_string()))
             }
-            RecordKind::CallEnded { id, status } => self.request(id).answers.push((t, *status)),
+            RecordKind::CallEnded { id, status } => self.request(id).responses.push((t, *status)),
             RecordKind::ConnectionLost { id, how } => self.request(id).lost = Some((t, how.clone())),
             RecordKind::GaveUp { id, own } => self.request(id).gave_up = Some((t, *own)),
-            RecordKind::UnsolicitedBytes { id, .. } if !id.is_empty() => self.request(id).unasked = true,
+            RecordKind::UnsolicitedBytes { id, .. } if !id.is_empty() => self.request(id).unsolicited = true,
             RecordKind::UnsolicitedBytes { .. } => {
-                // On a kept connection after its last answer: of no request any more, but never allowed.
-                let e = self.request(&format!("unasked at {}", t.0));
-                (e.unasked, e.sent) = (true, t);
+                // Bytes on an idle kept-alive connection belong to no request, but are never allowed.
+                let request = self.request(&format!("unasked at {}", t.0));
+                (request.unsolicited, request.sent) = (true, t);
             }
-            RecordKind::Resent { id } => self.request(id).taken = false,
-            RecordKind::SendIncomplete { id, .. } => self.request(id).taken = false,
+            RecordKind::Resent { id } => self.request(id).accepted = false,
+            RecordKind::SendIncomplete { id, .. } => self.request(id).accepted = false,
             RecordKind::ProcessingStarted { id } => {
-                self.begun.entry(id.clone()).or_default().push((t, part.clone()))
+                self.executions.entry(id.clone()).or_default().push((t, part.clone()))
             }
             RecordKind::Arrived { id, first, .. } => {
                 self.arrived.entry(id.clone()).or_default().push((*first, part.clone()));
@@ -176,42 +178,43 @@
             }
             RecordKind::CallerGone { id, .. } => drop(self.dropped.insert(id.clone())),
             RecordKind::HealthReported { proxy, host, health, .. } => {
-                let told = self.told.entry((proxy.clone(), host.clone())).or_default();
-                told.push((t, health == "Ready"));
-                self.has.insert((proxy.clone(), host.clone()), health == "Ready");
+                let announcements = self.announcements.entry((proxy.clone(), host.clone())).or_default();
+                announcements.push((t, health == "Ready"));
+                self.latest_health.insert((proxy.clone(), host.clone()), health == "Ready");
             }
             RecordKind::ProxyDown { proxy, how } => {
-                open(&mut self.downs, proxy, t, how);
-                // A new life knows nothing yet.
+                start_span(&mut self.downtimes, proxy, t, how);
+                // A restarted proxy knows no states yet.
                 if how != "freeze" && !how.starts_with("slow") {
-                    self.told
+                    self.announcements
                         .iter_mut()
                         .filter(|((p, _), _)| p == proxy)
-                        .for_each(|(_, told)| told.push((t, true)));
+                        .for_each(|(_, announcements)| announcements.push((t, true)));
                 }
             }
             RecordKind::ProxyUp { proxy } => {
-                let anew = self.downs.get(proxy).and_then(|spans| spans.last());
-                if anew.is_some_and(|(_, _, how)| how != "freeze" && !how.starts_with("slow")) {
-                    for ((_, host), ready) in self.has.iter().filter(|((p, _), _)| p == proxy) {
-                        let told = self.told.entry((proxy.clone(), host.clone())).or_default();
-                        told.extend([(t, true), (t, *ready)]);
+                let last_downtime = self.downtimes.get(proxy).and_then(|spans| spans.last());
+                if last_downtime.is_some_and(|(_, _, how)| how != "freeze" && !how.starts_with("slow")) {
+                    for ((_, host), ready) in self.latest_health.iter().filter(|((p, _), _)| p == proxy) {
+                        let announcements =
+                            self.announcements.entry((proxy.clone(), host.clone())).or_default();
+                        announcements.extend([(t, true), (t, *ready)]);
                     }
                 }
-                shut(&mut self.downs, proxy, t);
+                end_span(&mut self.downtimes, proxy, t);
             }
-            RecordKind::Cut { link, how } => open(&mut self.cuts, link, t, how),
-            RecordKind::Restored { link } => shut(&mut self.cuts, link, t),
+            RecordKind::Cut { link, how } => start_span(&mut self.link_cuts, link, t, how),
+            RecordKind::Restored { link } => end_span(&mut self.link_cuts, link, t),
             RecordKind::Started { warm, .. } => self.starts.entry(part.clone()).or_default().push((t, *warm)),
             RecordKind::Stopped { .. } => self.stops.entry(part.clone()).or_default().push(t),
             _ => {}
         }
     }
 
-    /// How much of a span the plan kept a proxy from running.
-    fn stopped(&self, proxy: &str, from: At, to: At) -> Micros {
+    /// How long planned faults kept a proxy from running within a time span.
+    fn paused_time(&self, proxy: &str, from: At, to: At) -> Micros {
         let mut all = Micros::ZERO;
-        for (began, ended, how) in self.downs.get(proxy).into_iter().flatten() {
+        for (began, ended, how) in self.downtimes.get(proxy).into_iter().flatten() {
             let part = match how.split_once(' ') {
                 Some(("slow", share)) => 1.0 - share.parse().unwrap_or(1.0),
                 _ if how == "freeze" => 1.0,
@@ -225,25 +228,29 @@
         all
     }
 
-    /// Whether the plan itself took away the way to an answer, or the time for it.
-    fn excused(&self, e: &Request, until: At) -> bool {
+    /// Whether a planned fault explains a missing or late response.
+    fn excused(&self, request: &Request, until: At) -> bool {
         let over = |spans: &Spans, name: &str, skip: &[&str]| {
             let spans = spans.get(name).into_iter().flatten();
             spans
                 .filter(|(_, _, how)| !skip.contains(&how.as_str()))
-                .any(|(from, to, _)| *from <= until && *to + ALLOWANCE >= e.sent)
+                .any(|(from, to, _)| *from <= until && *to + SOCKET_TOLERANCE >= request.sent)
         };
-        let link = e.to.replacen("/p-", "/c-", 1);
-        let caller_gone = e.caller.as_ref().is_some_and(|caller| {
-            self.stops.get(caller).is_some_and(|stops| stops.iter().any(|at| *at >= e.sent && *at <= until))
+        let link = request.to.replacen("/p-", "/c-", 1);
+        let caller_gone = request.caller.as_ref().is_some_and(|caller| {
+            self.stops
+                .get(caller)
+                .is_some_and(|stops| stops.iter().any(|at| *at >= request.sent && *at <= until))
         });
-        over(&self.downs, &e.to, &["term", "shrink"]) || over(&self.cuts, &link, &[]) || caller_gone
+        over(&self.downtimes, &request.to, &["term", "shrink"])
+            || over(&self.link_cuts, &link, &[])
+            || caller_gone
     }
 }
 
-/// Judges a run's records.
+/// Checks a run's records against the rules.
 pub fn judge(records: &[Record], scenario: &Scenario) -> Verdict {
-    let book = Book::of(records);
+    let log = RequestLog::of(records);
     let mut verdict = Verdict::default();
     for record in records {
         if let RecordKind::TimerLateness { p99_us, max_us } = record.kind {
@@ -254,20 +261,20 @@
             verdict.void.get_or_insert(text.clone());
         }
     }
-    let slack = ALLOWANCE + verdict.late;
-    for (id, e) in &book.requests {
-        one_answer(&book, id, e, slack, &mut verdict);
-        one_effect(&book, id, e, scenario, slack, &mut verdict);
-        drains(&book, id, e, scenario, slack, &mut verdict);
+    let slack = SOCKET_TOLERANCE + verdict.late;
+    for (id, request) in &log.requests {
+        check_one_response(&log, id, request, slack, &mut verdict);
+        check_one_execution(&log, id, request, scenario, slack, &mut verdict);
+        check_drain_grace(&log, id, request, scenario, slack, &mut verdict);
     }
-    for (host, starts) in &book.starts {
+    for (host, starts) in &log.starts {
         let Some((tier, _, n)) = scenario.components(host).first().copied() else { continue };
         let tier = &scenario.tiers[tier];
         for (from, _) in starts.iter().filter(|(_, warm)| !warm) {
-            cold(&book, host, *from, (tier, tier.core_count(n)), &mut verdict);
+            check_slow_start(&log, host, *from, (tier, tier.core_count(n)), &mut verdict);
         }
     }
-    for (proxy, spans) in &book.downs {
+    for (proxy, spans) in &log.downtimes {
         for (at, _, how) in spans.iter().filter(|(_, _, how)| how.starts_with("crash")) {
             let text = format!("{proxy}: {how}");
             verdict.breaches.push(Breach { rule: Rule::NoCrash, id: None, at: *at, text });
@@ -277,64 +284,72 @@
     verdict
 }
 
-fn one_answer(book: &Book, id: &str, e: &Request, slack: Micros, verdict: &mut Verdict) {
+fn check_one_response(log: &RequestLog, id: &str, request: &Request, slack: Micros, verdict: &mut Verdict) {
     let mut breach = |at, text: String| {
         let id = Some(id.to_string());
         verdict.breaches.push(Breach { rule: Rule::OneResponse, id, at, text });
     };
-    if e.unasked {
-        let at = e.answers.first().map_or(e.sent, |(at, _)| *at);
+    if request.unsolicited {
+        let at = request.responses.first().map_or(request.sent, |(at, _)| *at);
         return breach(at, "more came after the answer".to_string());
     }
-    if !e.taken {
+    if !request.accepted {
         return;
     }
-    verdict.taken += 1;
-    if e.answers.len() > 1 {
-        return breach(e.answers[1].0, format!("{} answers", e.answers.len()));
+    verdict.accepted += 1;
+    if request.responses.len() > 1 {
+        return breach(request.responses[1].0, format!("{} answers", request.responses.len()));
     }
-    if let Some((at, status)) = e.answers.first() {
-        if *at > e.cut_off + slack {
-            if book.excused(e, *at) {
+    if let Some((at, status)) = request.responses.first() {
+        if *at > request.cut_off + slack {
+            if log.excused(request, *at) {
                 verdict.excused += 1;
             } else {
-                let late = at.since(e.cut_off);
+                let late = at.since(request.cut_off);
                 breach(*at, format!("status {status} came {late} after the cut-off"));
             }
         }
         return;
     }
-    if e.gave_up.as_ref().is_some_and(|(_, own)| *own) {
+    if request.gave_up.as_ref().is_some_and(|(_, own)| *own) {
         return;
     }
-    let end = e.lost.as_ref().map(|(at, _)| *at).or(e.gave_up.map(|(at, _)| at)).unwrap_or(book.end);
-    // A call whose backend gave it up is a caller that left.
-    let left = e.caller.is_some() && e.lost.is_none();
-    if book.excused(e, end) {
+    let end =
+        request.lost.as_ref().map(|(at, _)| *at).or(request.gave_up.map(|(at, _)| at)).unwrap_or(log.end);
+    // If the calling backend gave up a call, this counts as a client that left.
+    let left = request.caller.is_some() && request.lost.is_none();
+    if log.excused(request, end) {
         verdict.excused += 1;
-    } else if left && (end < e.cut_off + slack || parent_dropped(book, id)) {
-        // Nothing was owed any more, or it is not over yet.
-    } else if let Some((at, how)) = &e.lost {
-        let kept = how.contains("kept") || e.caller.is_some();
-        if kept && at.since(e.sent) <= CROSSING && !book.arrived.contains_key(id) {
-            verdict.crossed += 1;
+    } else if left && (end < request.cut_off + slack || parent_client_gone(log, id)) {
+        // No response was due any more, or the call is not over yet.
+    } else if let Some((at, how)) = &request.lost {
+        let kept = how.contains("kept") || request.caller.is_some();
+        if kept && at.since(request.sent) <= CLOSE_RACE_WINDOW && !log.arrived.contains_key(id) {
+            verdict.close_races += 1;
         } else {
             breach(*at, format!("no answer: {how}"));
         }
-    } else if book.end > e.cut_off + slack {
+    } else if log.end > request.cut_off + slack {
         breach(end, "no answer by the cut-off, nor after".to_string());
     }
 }
 
-/// Whether the request that made this call was given up by its own caller.
-fn parent_dropped(book: &Book, id: &str) -> bool {
+/// Whether the client of the request that made this call gave up.
+fn parent_client_gone(log: &RequestLog, id: &str) -> bool {
     let parent = id.rsplitn(3, '.').last().unwrap_or_default();
-    book.dropped.contains(parent)
+    log.dropped.contains(parent)
 }
 
-fn one_effect(book: &Book, id: &str, e: &Request, scenario: &Scenario, slack: Micros, verdict: &mut Verdict) {
-    let Some(begun) = book.begun.get(id) else { return };
-    let Some(class) = scenario.class(&class_of(book, id, e)) else { return };
+fn check_one_execution(
+    log: &RequestLog,
+    id: &str,
+    request: &Request,
+    scenario: &Scenario,
+    slack: Micros,
+    verdict: &mut Verdict,
+) {
+    let Some(executions) = log.executions.get(id) else { return };
+    let Some(class) = scenario.class(&class_of(log, id, request)) else { return };
     if class.effect == Effect::Safe {
         return;
     }
@@ -342,11 +357,13 @@
         let id = Some(id.to_string());
         verdict.breaches.push(Breach { rule: Rule::OneExecution, id, at, text });
     };
-    let (first, rest) = (&begun[0], &begun[1..]);
+    let (first, rest) = (&executions[0], &executions[1..]);
     match (class.effect, class.group, class.window) {
         (Effect::Keyed, Some(group), Some(window)) => {
-            // Repeats within the group and its window are dropped by the backends themselves.
-            if let Some((at, host)) = rest.iter().find(|(_, host)| !share(scenario, group, &first.1, host)) {
+            // The backends themselves drop repeats within the group and its window.
+            if let Some((at, host)) =
+                rest.iter().find(|(_, host)| !same_group(scenario, group, &first.1, host))
+            {
                 breach(*at, format!("begun at {} and again at {host}, outside of its group", first.1));
             }
             if let Some((at, host)) = rest.iter().find(|(at, _)| *at > first.0 + window + slack) {
@@ -355,21 +372,21 @@
         }
         _ => {
             if let Some((at, host)) = rest.first() {
-                breach(*at, format!("begun {} times, then at {host}", begun.len()));
+                breach(*at, format!("begun {} times, then at {host}", executions.len()));
             }
         }
     }
     if class.group == Some(Group::All) {
-        return; // what all drop may be tried again wherever it was begun
+        return; // all backends drop repeats, so a retry is safe wherever the request was started
     }
-    let refused = e.answers.iter().find(|(_, status)| matches!(status, 429 | 503));
+    let refused = request.responses.iter().find(|(_, status)| matches!(status, 429 | 503));
     if let Some((at, status)) = refused {
-        breach(*at, format!("turned back with {status} though {} had begun it", begun[0].1));
+        breach(*at, format!("turned back with {status} though {} had begun it", executions[0].1));
     }
 }
 
-/// Whether two backends drop each other's repeats.
-fn share(scenario: &Scenario, group: Group, one: &str, other: &str) -> bool {
+/// Whether two backends belong to the same group and so drop each other's repeats.
+fn same_group(scenario: &Scenario, group: Group, one: &str, other: &str) -> bool {
     let place = |host: &str| scenario.components(host).first().copied();
     let (Some((tier, _, one)), Some((other_tier, _, other))) = (place(one), place(other)) else {
         return false;
@@ -383,29 +400,40 @@
         }
 }
 
-/// A call bears the class of the request that it serves.
-fn class_of(book: &Book, id: &str, e: &Request) -> String {
-    match e.caller {
-        None => e.class.clone(),
+/// The class of a request; a call has the class of the request that it serves.
+fn class_of(log: &RequestLog, id: &str, request: &Request) -> String {
+    match request.caller {
+        None => request.class.clone(),
         Some(_) => {
             let first = id.split('.').next().unwrap_or(id);
-            book.requests.get(first).map(|e| e.class.clone()).unwrap_or_default()
+            log.requests.get(first).map(|request| request.class.clone()).unwrap_or_default()
         }
     }
 }
 
-fn drains(book: &Book, id: &str, e: &Request, scenario: &Scenario, slack: Micros, verdict: &mut Verdict) {
-    for (first, host) in book.arrived.get(id).into_iter().flatten() {
-        let Some(told) = book.told.get(&(e.to.clone(), host.clone())) else { continue };
+fn check_drain_grace(
+    log: &RequestLog,
+    id: &str,
+    request: &Request,
+    scenario: &Scenario,
+    slack: Micros,
+    verdict: &mut Verdict,
+) {
+    for (first, host) in log.arrived.get(id).into_iter().flatten() {
+        let Some(announcements) = log.announcements.get(&(request.to.clone(), host.clone())) else {
+            continue;
+        };
         let grace = scenario.tiers.iter().find(|tier| host.split('/').next() == Some(&tier.name));
         let grace = grace.map_or(Micros::ZERO, |tier| tier.drain_grace);
-        let Some((at, false)) = told.iter().rev().find(|(at, _)| at <= first) else { continue };
-        // The first of the words that say so: a second one does not give the grace anew.
-        let since = told.iter().rev().skip_while(|(t, _)| t > at).take_while(|(_, ready)| !ready).last();
+        let Some((at, false)) = announcements.iter().rev().find(|(at, _)| at <= first) else { continue };
+        // The grace counts from the first announcement; a repeated one does not restart it.
+        let since =
+            announcements.iter().rev().skip_while(|(t, _)| t > at).take_while(|(_, ready)| !ready).last();
         let since = since.map_or(*at, |(at, _)| *at);
-        // It could do nothing while it was stopped, nor at once after.
-        if *first > since + grace + slack + book.stopped(&e.to, since, *first) {
-            let text = format!("sent to {host} {} after {} was told of its drain", first.since(since), e.to);
+        // The proxy could not react while it was paused, nor immediately afterwards.
+        if *first > since + grace + slack + log.paused_time(&request.to, since, *first) {
+            let text =
+                format!("sent to {host} {} after {} was told of its drain", first.since(since), request.to);
             verdict.breaches.push(Breach {
                 rule: Rule::DrainGrace,
                 id: Some(id.to_string()),
@@ -416,11 +444,17 @@
     }
 }
 
-fn cold(book: &Book, host: &str, from: At, (tier, cores): (&Tier, usize), verdict: &mut Verdict) {
-    let offered = book.offered.get(host).map_or(&[][..], |all| all.as_slice());
-    let ended = book.stops.get(host).into_iter().flatten().find(|at| **at > from).copied();
+fn check_slow_start(
+    log: &RequestLog,
+    host: &str,
+    from: At,
+    (tier, cores): (&Tier, usize),
+    verdict: &mut Verdict,
+) {
+    let offered = log.offered.get(host).map_or(&[][..], |all| all.as_slice());
+    let ended = log.stops.get(host).into_iter().flatten().find(|at| **at > from).copied();
     let until = (from + tier.cold_ramp).min(ended.unwrap_or(At(i64::MAX)) + Micros(1));
-    let Some((at, count, bearable)) = fleet_figures::heaviest(offered, (from, until), tier, cores).over
+    let Some((at, count, bearable)) = fleet_figures::peak_cold_load(offered, (from, until), tier, cores).over
     else {
         return;
     };
@@ -432,7 +466,7 @@
     verdict.breaches.push(Breach { rule: Rule::SlowStart, id: None, at, text });
 }
 
-/// All that was seen of a request and of its calls, a line each, with what else went on meanwhile.
+/// All records of a request and of its calls, one line each, with the faults and changes of state meanwhile.
 pub fn timeline(records: &[Record], id: &str, start: At, logs: &[(String, String)]) -> Vec<String> {
     let below = format!("{id}.");
     let about =
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -1,5 +1,6 @@
-//! The search: schedules are drawn and played, several at once; one on which a rule or a bound breaks is cut down to the
-//! fewest and shortest faults that still break it, and written as a scenario that can be played again.
+//! Searches for failing fault schedules: draws random schedules and runs several at once. A schedule that
+//! breaks a rule or a bound is reduced to the fewest and shortest faults that still break it and written as a
+//! scenario that can be replayed.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -15,15 +16,15 @@
 use crate::scenario::{Fault, Variant};
 use crate::scenario_file::ScenarioFile;
 
-/// What breaks is told apart by the rules and bounds that it breaks.
+/// The rules and bounds that a schedule breaks; they distinguish one failure from another.
 pub type Marks = BTreeSet<String>;
 
-/// A candidate counts only if it breaks each of so many times.
-const SURE: usize = 2;
-/// How often the cut-down schedule is played at the end.
+/// A reduced schedule is accepted only if it fails in each of this many runs.
+const CONFIRMATION_RUNS: usize = 2;
+/// How often the reduced schedule is replayed at the end.
 pub const REPLAYS: usize = 5;
-const SHORTEST: Micros = Micros::from_millis(100);
-const SEEDS: u64 = 0x7fff_ffff; // what a scenario's file can hold, and people read
+const MIN_FAULT_DURATION: Micros = Micros::from_millis(100);
+const SEED_MASK: u64 = 0x7fff_ffff; // a range that fits a scenario file and is readable
 
 pub struct Search {
     pub source: ScenarioFile,
@@ -32,52 +33,52 @@
     pub runs: u64,
     pub lasts: Option<Micros>,
     pub jobs: usize,
-    /// No run begins after this long.
+    /// No run starts after this many seconds.
     pub seconds: Option<f64>,
-    /// Where the scenarios that were found go.
+    /// The folder for the scenarios found.
     pub out: PathBuf,
     pub stop: Arc<AtomicBool>,
 }
 
-/// A schedule that breaks something.
+/// A schedule that breaks a rule or a bound.
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub number: u64,
     pub marks: Marks,
     pub faults: Vec<Fault>,
-    /// How many faults it had when it was drawn.
+    /// Number of faults before the reduction.
     pub drawn: usize,
     pub path: PathBuf,
-    /// How often the file broke the same when it was played again, of how often.
+    /// How many replays failed in the same way, and the number of replays.
     pub replayed: (usize, usize),
-    /// The first break, as the ledger or the bound words it.
+    /// The first breach or missed bound, in words.
     pub text: String,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct SearchResult {
     pub played: u64,
-    /// Runs that told nothing: the machine was too busy, or the lab itself stood in the way.
+    /// Inconclusive runs: the machine was too busy, or the lab itself interfered.
     pub void: u64,
     pub found: Vec<Finding>,
 }
 
-/// What a schedule came to.
-enum Came {
-    Kept,
-    Broke(Marks, String),
-    Void,
+/// The result of running a schedule.
+enum RunResult {
+    Passed,
+    Failed(Marks, String),
+    Inconclusive,
 }
 
 impl Search {
-    /// The seed of the n-th schedule, which is also that of its load.
+    /// The seed of the n-th schedule and of its load.
     fn seed_of(&self, number: u64) -> u64 {
-        arrivals::hash_with_seed(self.seed, &format!("hunt {number}")) & SEEDS
+        arrivals::hash_with_seed(self.seed, &format!("hunt {number}")) & SEED_MASK
     }
 
-    fn over(&self, since: Instant) -> bool {
+    fn is_over(&self, started_at: Instant) -> bool {
         self.stop.load(Ordering::Relaxed)
-            || self.seconds.is_some_and(|most| since.elapsed().as_secs_f64() >= most)
+            || self.seconds.is_some_and(|most| started_at.elapsed().as_secs_f64() >= most)
     }
 
     fn lasts(&self) -> Result<Micros, Failure> {
@@ -85,8 +86,8 @@
         Ok(self.lasts.unwrap_or(scenario.duration))
     }
 
-    /// Plays a schedule once.
-    fn play(&self, faults: &[Fault], seed: u64) -> Result<Came, Failure> {
+    /// Runs a schedule once.
+    fn play(&self, faults: &[Fault], seed: u64) -> Result<RunResult, Failure> {
         let source = self.source.with_faults(faults, seed, self.lasts()?).map_err(Failure::InvalidInput)?;
         let scenario = source.scenario(None, false).map_err(Failure::InvalidInput)?;
         static COUNT: AtomicU64 = AtomicU64::new(0);
@@ -102,11 +103,11 @@
         let run = run?;
         let verdict = &run.verdict;
         if verdict.void.is_some() {
-            return Ok(Came::Void);
+            return Ok(RunResult::Inconclusive);
         }
         let mut marks: Marks = verdict.breaches.iter().map(|breach| breach.rule.name().to_string()).collect();
         if verdict.unsure() && marks.is_empty() && !run.missed.is_empty() {
-            return Ok(Came::Void);
+            return Ok(RunResult::Inconclusive);
         }
         if !verdict.unsure() {
             let name = |missed: &String| missed.split(' ').next().unwrap_or_default().to_string();
@@ -114,16 +115,23 @@
         }
         let text = verdict.breaches.first().map(|breach| format!("{}: {}", breach.rule.name(), breach.text));
         let text = text.or_else(|| run.missed.first().cloned()).unwrap_or_default();
-        Ok(if marks.is_empty() { Came::Kept } else { Came::Broke(marks, text) })
+        Ok(if marks.is_empty() { RunResult::Passed } else { RunResult::Failed(marks, text) })
     }
 
-    /// Whether a candidate breaks one of these each time that it is played.
-    fn breaks(&self, faults: &[Fault], seed: u64, marks: &Marks, times: usize) -> Result<usize, Failure> {
-        let broke = |came: &Came| matches!(came, Came::Broke(found, _) if !found.is_disjoint(marks));
+    /// How many of the runs of a candidate break one of the given rules or bounds.
+    fn count_failures(
+        &self,
+        faults: &[Fault],
+        seed: u64,
+        marks: &Marks,
+        times: usize,
+    ) -> Result<usize, Failure> {
+        let broke =
+            |result: &RunResult| matches!(result, RunResult::Failed(found, _) if !found.is_disjoint(marks));
         let mut count = 0;
         for played in 0..times {
             count += usize::from(broke(&self.play(faults, seed)?));
-            // One that kept is enough to know that it is not sure.
+            // One run without a failure is enough to reject a candidate.
             if count <= played && times < REPLAYS {
                 break;
             }
@@ -131,8 +139,8 @@
         Ok(count)
     }
 
-    /// The first candidate that breaks for sure, of some that are tried several at once.
-    fn first_sure(
+    /// The first candidate that fails every time; several candidates run at once.
+    fn first_confirmed(
         &self,
         candidates: &[Vec<Fault>],
         seed: u64,
@@ -140,13 +148,14 @@
     ) -> Result<Option<usize>, Failure> {
         for (round, some) in candidates.chunks(self.jobs.max(1)).enumerate() {
             let results = std::thread::scope(|scope| {
-                let one = |faults: &'_ Vec<Fault>| self.breaks(faults, seed, marks, SURE);
+                let one =
+                    |faults: &'_ Vec<Fault>| self.count_failures(faults, seed, marks, CONFIRMATION_RUNS);
                 let threads: Vec<_> = some.iter().map(|faults| scope.spawn(move || one(faults))).collect();
                 threads.into_iter().map(|thread| thread.join()).collect::<Vec<_>>()
             });
             for (n, result) in results.into_iter().enumerate() {
                 let count = result.map_err(|_| Failure::Environment("a run panicked".to_string()))??;
-                if count == SURE {
+                if count == CONFIRMATION_RUNS {
                     return Ok(Some(round * self.jobs.max(1) + n));
                 }
             }
@@ -154,35 +163,37 @@
         Ok(None)
     }
 
-    /// Leaves out one fault after another, then shortens those that are left, as long as it still breaks.
-    fn cut_down(
+    /// Removes faults one by one, then shortens the rest, as long as the schedule still fails.
+    fn reduce(
         &self,
         mut faults: Vec<Fault>,
         seed: u64,
         marks: &Marks,
-        since: Instant,
+        started_at: Instant,
     ) -> Result<Vec<Fault>, Failure> {
-        while faults.len() > 1 && !self.over(since) {
+        while faults.len() > 1 && !self.is_over(started_at) {
             let without = |n: usize| {
                 let mut rest = faults.clone();
                 rest.remove(n);
                 rest
             };
             let candidates: Vec<Vec<Fault>> = (0..faults.len()).map(without).collect();
-            match self.first_sure(&candidates, seed, marks)? {
+            match self.first_confirmed(&candidates, seed, marks)? {
                 Some(n) => faults = candidates[n].clone(),
                 None => break,
             }
         }
         for n in 0..faults.len() {
-            while let Some(lasts) = faults[n].duration.filter(|lasts| *lasts >= SHORTEST.scaled(2.0)) {
-                if self.over(since) {
+            while let Some(lasts) =
+                faults[n].duration.filter(|lasts| *lasts >= MIN_FAULT_DURATION.scaled(2.0))
+            {
+                if self.is_over(started_at) {
                     break;
                 }
                 let mut shorter = faults.clone();
                 shorter[n].duration = Some(Micros((lasts.0 / 2_000).max(1) * 1000));
                 let candidates = [shorter];
-                if self.first_sure(&candidates, seed, marks)?.is_none() {
+                if self.first_confirmed(&candidates, seed, marks)?.is_none() {
                     break;
                 }
                 [faults] = candidates;
@@ -207,52 +218,53 @@
             found.drawn
         );
         let text = head + source.text();
-        let could_not = |e| Failure::Environment(format!("cannot write {}: {e}", found.path.display()));
-        std::fs::write(&found.path, text).map_err(could_not)
+        let write_error = |e| Failure::Environment(format!("cannot write {}: {e}", found.path.display()));
+        std::fs::write(&found.path, text).map_err(write_error)
     }
 
-    /// Plays all schedules; `told` hears of each run and of what is found. What was found by an interruption stays.
-    pub fn run(&self, told: &(dyn Fn(u64, usize, &str) + Sync)) -> Result<SearchResult, Failure> {
+    /// Runs all schedules and reports each run and each finding to `told`. Findings made before an
+    /// interruption are kept.
+    pub fn run(&self, on_progress: &(dyn Fn(u64, usize, &str) + Sync)) -> Result<SearchResult, Failure> {
         let scenario = self.source.scenario(None, false).map_err(Failure::InvalidInput)?;
-        let could_not = |e| Failure::Environment(format!("cannot write to {}: {e}", self.out.display()));
-        std::fs::create_dir_all(&self.out).map_err(could_not)?;
-        let mut drawn_over = scenario.clone();
-        drawn_over.duration = self.lasts.unwrap_or(scenario.duration);
-        let since = Instant::now();
-        let (next, hunted) = (AtomicU64::new(0), Mutex::new(SearchResult::default()));
+        let write_error = |e| Failure::Environment(format!("cannot write to {}: {e}", self.out.display()));
+        std::fs::create_dir_all(&self.out).map_err(write_error)?;
+        let mut draw_scenario = scenario.clone();
+        draw_scenario.duration = self.lasts.unwrap_or(scenario.duration);
+        let started_at = Instant::now();
+        let (next, search_result) = (AtomicU64::new(0), Mutex::new(SearchResult::default()));
         let failed: Mutex<Option<Failure>> = Mutex::new(None);
-        // A run is played by the thread that started its processes: they end with it.
+        // The thread that starts a run's processes also drives it, since the processes end with that thread.
         std::thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
                 scope.spawn(|| loop {
                     let number = next.fetch_add(1, Ordering::Relaxed);
                     let stopped = failed.lock().is_ok_and(|failed| failed.is_some());
-                    if number >= self.runs || self.over(since) || stopped {
+                    if number >= self.runs || self.is_over(started_at) || stopped {
                         return;
                     }
                     let seed = self.seed_of(number);
-                    let faults = fault_schedule::draw_schedule(&drawn_over, seed);
-                    let came = self.play(&faults, seed);
-                    let Ok(mut hunted) = hunted.lock() else { return };
-                    hunted.played += 1;
-                    match came {
-                        Ok(Came::Kept) => {}
-                        Ok(Came::Void) => hunted.void += 1,
-                        Ok(Came::Broke(marks, text)) => {
+                    let faults = fault_schedule::draw_schedule(&draw_scenario, seed);
+                    let result = self.play(&faults, seed);
+                    let Ok(mut search_result) = search_result.lock() else { return };
+                    search_result.played += 1;
+                    match result {
+                        Ok(RunResult::Passed) => {}
+                        Ok(RunResult::Inconclusive) => search_result.void += 1,
+                        Ok(RunResult::Failed(marks, text)) => {
                             let path = self.file(number);
                             let (drawn, replayed) = (faults.len(), (0, 0));
                             let found = Finding { number, marks, faults, drawn, path, replayed, text };
                             if let Err(e) = self.write(&found, seed) {
-                                keep_first(&failed, e);
+                                keep_first_error(&failed, e);
                             }
-                            hunted.found.push(found);
+                            search_result.found.push(found);
                         }
                         Err(Failure::Interrupted) => return,
                         Err(e) => {
-                            keep_first(&failed, e);
+                            keep_first_error(&failed, e);
                         }
                     }
-                    told(hunted.played, hunted.found.len(), "");
+                    on_progress(search_result.played, search_result.found.len(), "");
                 });
             }
         });
@@ -260,34 +272,34 @@
         if let Some(failed) = failed {
             return Err(failed);
         }
-        let mut hunted =
-            hunted.into_inner().map_err(|_| Failure::Environment("a run panicked".to_string()))?;
-        hunted.found.sort_by_key(|found| found.number);
+        let mut search_result =
+            search_result.into_inner().map_err(|_| Failure::Environment("a run panicked".to_string()))?;
+        search_result.found.sort_by_key(|found| found.number);
         let mut first = BTreeSet::new();
-        for n in 0..hunted.found.len() {
-            // One of each kind is cut down; the others stay as they were drawn.
-            if self.over(since) || !first.insert(hunted.found[n].marks.clone()) {
+        for n in 0..search_result.found.len() {
+            // One finding of each kind is reduced; the others stay as drawn.
+            if self.is_over(started_at) || !first.insert(search_result.found[n].marks.clone()) {
                 continue;
             }
-            told(
-                hunted.played,
-                hunted.found.len(),
-                &format!("cutting down schedule {}", hunted.found[n].number),
+            on_progress(
+                search_result.played,
+                search_result.found.len(),
+                &format!("cutting down schedule {}", search_result.found[n].number),
             );
-            match self.finish(&hunted.found[n], since) {
-                Ok(found) => hunted.found[n] = found,
+            match self.finish(&search_result.found[n], started_at) {
+                Ok(found) => search_result.found[n] = found,
                 Err(Failure::Interrupted) => break,
                 Err(e) => return Err(e),
             }
         }
-        Ok(hunted)
+        Ok(search_result)
     }
 
-    fn finish(&self, found: &Finding, since: Instant) -> Result<Finding, Failure> {
+    fn finish(&self, found: &Finding, started_at: Instant) -> Result<Finding, Failure> {
         let seed = self.seed_of(found.number);
-        let faults = self.cut_down(found.faults.clone(), seed, &found.marks, since)?;
+        let faults = self.reduce(found.faults.clone(), seed, &found.marks, started_at)?;
         let mut cut = Finding { faults, ..found.clone() };
-        cut.replayed = (self.breaks(&cut.faults, seed, &found.marks, REPLAYS)?, REPLAYS);
+        cut.replayed = (self.count_failures(&cut.faults, seed, &found.marks, REPLAYS)?, REPLAYS);
         self.write(&cut, seed)?;
         Ok(cut)
     }
@@ -298,13 +310,13 @@
     }
 }
 
-fn keep_first(failed: &Mutex<Option<Failure>>, e: Failure) {
+fn keep_first_error(failed: &Mutex<Option<Failure>>, e: Failure) {
     if let Ok(mut failed) = failed.lock() {
         failed.get_or_insert(e);
     }
 }
 
-/// The folder that finds go to where none is named.
+/// The default folder for findings.
 pub fn default_folder(file: &Path) -> PathBuf {
     file.with_file_name("found")
 }
