--- a/crates/lab/src/arrivals.rs
+++ b/crates/lab/src/arrivals.rs
@@ -1,5 +1,5 @@
-//! What the callers will do, drawn from the seed before the run begins, so that the same seed gives the same
-//! arrivals whatever becomes of them.
+//! Draws the clients' requests from the seed before the run begins, so that the same seed gives the same
+//! arrivals whatever their responses.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,18 +9,18 @@
 use crate::clock::Micros;
 use crate::scenario::{Distribution, Load, Scenario, Tier};
 
-/// More than a closed loop takes in a second.
-const CLOSED_MOST: usize = 80_000;
+/// Intents drawn per second of a closed loop, more than its clients can use.
+const CLOSED_LOOP_MAX_PER_S: usize = 80_000;
 
-/// One request that a caller means to have.
+/// One request that a client is to send.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Intent {
-    /// From the start of the load.
+    /// Time from the start of the load.
     pub at: Micros,
     pub class: usize,
     #[serde(rename = "caller")]
     pub client: usize,
-    /// It leaves before its time.
+    /// Whether the client leaves early.
     pub impatient: bool,
     pub slow_read: bool,
     pub slow_send: bool,
@@ -42,26 +42,26 @@
     rate
 }
 
-/// All arrivals of an open loop, or for a closed one the intents that callers take one after another.
+/// All arrivals of an open loop, or the intents that the clients of a closed loop take one after another.
 pub fn intents(scenario: &Scenario, seed: u64) -> Vec<Intent> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x1a7e);
     let load = &scenario.load;
     let mut times = Vec::new();
     if load.closed > 0 {
-        let most = scenario.duration.secs().ceil() as usize * CLOSED_MOST;
-        times.resize(most, Micros::ZERO);
+        let count = scenario.duration.secs().ceil() as usize * CLOSED_LOOP_MAX_PER_S;
+        times.resize(count, Micros::ZERO);
     } else {
-        let most = load.steps.iter().map(|step| step.rate).fold(load.rate, f64::max);
-        let gaps = Exp::new(most.max(1e-6)).expect("a rate above 0");
+        let max_rate = load.steps.iter().map(|step| step.rate).fold(load.rate, f64::max);
+        let intervals = Exp::new(max_rate.max(1e-6)).expect("a rate above 0");
         let mut at = 0.0;
         loop {
-            // Thinned from the highest rate: a Poisson process whose rate changes.
-            at += gaps.sample(&mut rng);
+            // A Poisson process with a changing rate, thinned from one with the highest rate.
+            at += intervals.sample(&mut rng);
             let now = Micros::from_ms(at * 1000.0);
             if now >= scenario.duration {
                 break;
             }
-            if rng.random::<f64>() * most < rate_at(load, now) {
+            if rng.random::<f64>() * max_rate < rate_at(load, now) {
                 times.push(now);
             }
         }
@@ -77,10 +77,10 @@
     let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
     let callers = &scenario.client_behavior;
     let intent = |at| {
-        let mut left = rng.random::<f64>() * shares;
+        let mut remaining = rng.random::<f64>() * shares;
         let class = scenario.classes.iter().position(|class| {
-            left -= class.share;
-            left < 0.0
+            remaining -= class.share;
+            remaining < 0.0
         });
         let client = if rng.random::<f64>() < load.hot { 0 } else { rng.random_range(0..load.clients) };
         let mut draw = |share: f64| rng.random::<f64>() < share;
@@ -91,18 +91,18 @@
     times.into_iter().map(intent).collect()
 }
 
-/// A generator of its own for one request at one backend, the same in every run.
+/// A random generator for one request at one backend, the same in every run.
 pub fn request_rng(seed: u64, id: &str, salt: u64) -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(hash_with_seed(seed ^ salt, id))
 }
 
-/// A number out of a seed and a text. (FNV-1a, 64 bits.)
+/// Hashes a text with a seed (FNV-1a, 64 bits).
 pub fn hash_with_seed(seed: u64, text: &str) -> u64 {
     let step = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     text.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, step)
 }
 
-/// How long a request of work 1 takes on an unhurried core.
+/// Draws the service time of a request of work 1 on a core that is not slowed down.
 pub fn service_time(tier: &Tier, rng: &mut ChaCha8Rng) -> Micros {
     let mean = tier.service.0 as f64;
     let drawn = match tier.distribution {
@@ -117,7 +117,7 @@
     Micros(drawn.round() as i64)
 }
 
-/// One number for a whole plan: two runs with the same have the same arrivals.
+/// Hash of all arrivals: two runs with the same hash have the same arrivals.
 pub fn digest(intents: &[Intent]) -> u64 {
     let step = |sum: u64, part: u64| (sum ^ part).wrapping_mul(0x0000_0100_0000_01b3);
     intents.iter().fold(0xcbf2_9ce4_8422_2325, |sum, i| {
--- a/crates/lab/src/clock.rs
+++ b/crates/lab/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of a run. CLOCK_MONOTONIC reads the same in every process of a machine, so records of parts
+//! The clock of a run. CLOCK_MONOTONIC reads the same in all processes of a machine, so records of components
 //! in different processes can be put in one order.
 
 use std::fmt;
--- a/crates/lab/src/configuration.rs
+++ b/crates/lab/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that a proxy finds in its file, in the platform's form.
+//! Writes a proxy's configuration file, in the platform's JSON format or in the native TOML format.
 
 use std::net::SocketAddr;
 
@@ -9,23 +9,23 @@
 use crate::deployment::zone;
 use crate::scenario::{Effect, Group, Scenario};
 
-/// What one proxy is told beside what all of its tier are.
-pub struct Told<'a> {
+/// Settings of one proxy, beside those that its whole tier shares.
+pub struct ProxySettings<'a> {
     pub name: &'a str,
     pub listen: SocketAddr,
     pub agent: SocketAddr,
     pub seed: u64,
     pub known: Option<Vec<BackendEntry>>,
-    /// How many proxies there are, as the file has it.
+    /// Number of proxies in the tier that the file states.
     pub balancers: usize,
-    /// Where they tell each other things, its own place among them.
+    /// Addresses for messages between the proxies, its own included.
     pub peers: Vec<SocketAddr>,
-    /// Where operators call, and what it is told of the fleet, in the project's own form.
+    /// Address for operators; only the native format has it and `fleet`.
     pub management: SocketAddr,
-    pub fleet: Option<FleetTold>,
+    pub fleet: Option<FleetSettings>,
 }
 
-pub struct FleetTold {
+pub struct FleetSettings {
     pub address: SocketAddr,
     pub advertise: SocketAddr,
     pub seeds: Vec<SocketAddr>,
@@ -35,21 +35,21 @@
     pub voters: Vec<SocketAddr>,
 }
 
-/// The same in the project's own form, which has no list from before.
-pub fn native(scenario: &Scenario, tier: usize, n: usize, told: &Told) -> String {
+/// The configuration in the native format, which holds no earlier list of backends.
+pub fn native(scenario: &Scenario, tier: usize, n: usize, settings: &ProxySettings) -> String {
     let t = &scenario.tiers[tier];
     let zones: Vec<String> = (0..t.zones).map(zone).collect();
     let mut text = format!(
         "name = {:?}\nseed = \"{:x}\"\n[[listener]]\naddress = \"{}\"\n[management]\naddress = \"{}\"\n\
          [limits]\nsockets = {}\n[discovery]\nagent = \"{}\"\n\
          [tier]\nabove = {tier}\nproxies = {}\nordinal = {n}\nzones = {zones:?}\nzone = {:?}\n",
-        told.name,
-        told.seed,
-        told.listen,
-        told.management,
+        settings.name,
+        settings.seed,
+        settings.listen,
+        settings.management,
         t.sockets,
-        told.agent,
-        told.balancers,
+        settings.agent,
+        settings.balancers,
         zone(n % t.zones),
     );
     text += &format!(
@@ -57,10 +57,10 @@
          warm_up = \"{}\"\ncold_multiple = {:?}\ncold_window = \"{}\"\n",
         t.dial, t.idle, t.max_attempts, t.reports, t.cold_share, t.cold_ramp, t.fall_multiple, t.fall_window
     );
-    if let Some(most) = t.max_retry_after {
-        text += &format!("[answers]\nlongest_retry_after = \"{most}\"\n");
+    if let Some(max_retry_after) = t.max_retry_after {
+        text += &format!("[answers]\nlongest_retry_after = \"{max_retry_after}\"\n");
     }
-    if let Some(fleet) = &told.fleet {
+    if let Some(fleet) = &settings.fleet {
         let seeds: Vec<String> = fleet.seeds.iter().map(SocketAddr::to_string).collect();
         text += &format!(
             "[fleet]\nname = \"lab\"\naddress = \"{}\"\nadvertise = \"{}\"\nseeds = {seeds:?}\n",
@@ -97,7 +97,8 @@
     text
 }
 
-pub fn platform(scenario: &Scenario, tier: usize, n: usize, told: &Told) -> String {
+/// The configuration in the platform's format.
+pub fn platform(scenario: &Scenario, tier: usize, n: usize, settings: &ProxySettings) -> String {
     let t = &scenario.tiers[tier];
     let classes = scenario.classes.iter().map(|class| {
         let effect = match class.effect {
@@ -117,20 +118,20 @@
         })
     });
     let columns = if t.reports { vec!["busy_reqs", "pending"] } else { vec![] };
-    let known = told.known.as_ref().map(|hosts| json!({ "seq": 1000, "whole": true, "hosts": hosts }));
+    let known = settings.known.as_ref().map(|hosts| json!({ "seq": 1000, "whole": true, "hosts": hosts }));
     let config = json!({
-        "name": told.name, "listen": told.listen, "discovery": told.agent,
-        "seed": format!("{:x}", told.seed),
+        "name": settings.name, "listen": settings.listen, "discovery": settings.agent,
+        "seed": format!("{:x}", settings.seed),
         "limits": { "cores": 1.0, "memory_mb": 192, "sockets": t.sockets },
         "known": known,
         "settings": {
-            "tier": tier, "balancers": told.balancers, "ordinal": n, "roundMs": 1.0,
+            "tier": tier, "balancers": settings.balancers, "ordinal": n, "roundMs": 1.0,
             "discovery": "pushed", "tariffs": classes.collect::<Vec<_>>(),
             "zones": (0..t.zones).map(zone).collect::<Vec<_>>(), "locality": n % t.zones,
             "report": { "how": if t.reports { "answers" } else { "none" }, "columns": columns },
-            "peerAddresses": told.peers,
+            "peerAddresses": settings.peers,
             "allowed": {
-                "maxForwards": t.max_attempts, "cancelling": true, "probes": true, "peers": !told.peers.is_empty(),
+                "maxForwards": t.max_attempts, "cancelling": true, "probes": true, "peers": !settings.peers.is_empty(),
                 "retryAfter": t.max_retry_after.is_some(),
                 "maxRetryAfterMs": t.max_retry_after.map_or(0.0, Micros::ms),
                 "connIdleMs": t.idle.ms(), "dialTimeoutMs": t.dial.ms(),
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -1,4 +1,4 @@
-//! What a scenario says of the deployment: tiers, links, classes, the load and the callers.
+//! The parts of a scenario that describe the deployment: tiers, links, classes, the load and the clients.
 
 use std::path::PathBuf;
 
@@ -6,43 +6,47 @@
 
 use crate::clock::Micros;
 
+/// What balances the requests of a tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Balance {
     /// The proxy under test.
     Sparlug,
-    /// The stand-in baseline, which picks at random, in turn, or where it has the fewest out.
+    /// The baseline stand-in, which picks a random backend.
     Random,
+    /// The baseline stand-in, which picks the backends in turn.
     RoundRobin,
+    /// The baseline stand-in, which picks the backend with the fewest outstanding requests.
     Least,
-    /// None: callers go straight to the backends.
+    /// No proxy: clients connect to the backends directly.
     Direct,
 }
 
-/// A deliberate fault of the stand-in balancer, which the ledger must catch.
+/// A seeded defect of the stand-in balancer, which the ledger must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SeededDefect {
-    /// Sends again what may have run.
+    /// Resends requests that a backend may have executed.
     Resend,
-    /// Never gives one answer in twenty.
+    /// Drops one response in twenty.
     DropAnswer,
-    /// Goes on using a backend that it was told is draining.
+    /// Continues to use a backend that was announced as draining.
     UseDrained,
-    /// Answers twice.
+    /// Sends a response twice.
     AnswerTwice,
-    /// Says that nothing was done although it may have been.
+    /// Reports a request as not started although a backend may have executed it.
     FalseRefusal,
-    /// Gives an answer after the cut-off.
+    /// Sends a response after the deadline.
     AnswerLate,
-    /// Sends everything to a backend that has just started.
+    /// Sends all requests to a backend that has just started.
     CrowdCold,
-    /// Gives a backend that has just started what it can just bear from one alone.
+    /// Sends a backend that has just started as much as it could just take from a single proxy.
     CrowdTogether,
-    /// After a restart, takes no drain from the first list that it is told.
+    /// After a restart, ignores drains in the first list that it receives.
     ForgetDrain,
 }
 
+/// One tier: its backends, the proxies before them and what lies between.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tier {
@@ -50,79 +54,84 @@
     pub backends: usize,
     pub proxies: usize,
     pub balance: Balance,
-    /// Another build of the proxy; told its configuration by `ROUTER_CONFIG`.
+    /// Another build of the proxy, which reads its configuration from the file in `ROUTER_CONFIG`.
     pub program: Option<PathBuf>,
     /// The core that its proxies are pinned to.
     pub pin: Option<usize>,
     pub cores: usize,
-    /// Mean time that a request of work 1 takes on one core, and how it is spread.
+    /// Mean service time of a request of work 1 on one core, with its distribution and coefficient of
+    /// variation.
     pub service: Micros,
     pub distribution: Distribution,
     pub cv: f64,
-    /// How many may wait; more are turned away.
+    /// Queue length; requests beyond it are refused.
     pub queue: usize,
-    /// From this many held on it slows down, by as much again for each so many more.
+    /// Number of requests in progress from which a backend slows down: by its service time again for each
+    /// such number more.
     pub crowd_at: usize,
     pub error_rate: f64,
-    /// Drops what its caller has given up.
+    /// Whether it cancels requests whose client has gone.
     pub cancels: bool,
     pub cold_share: f64,
     pub cold_ramp: Micros,
-    /// A cold backend that is offered so many times what it can bear, over the window, falls over.
+    /// A cold backend that is offered this multiple of its capacity, over the window, falls over.
     pub fall_multiple: f64,
     pub fall_window: Micros,
-    /// Answers bear load reports.
+    /// Responses carry load reports.
     pub reports: bool,
-    /// Calls to the next tier for each request, one after another: least and most.
+    /// Minimum and maximum number of calls to the next tier for each request, made one after another.
     pub calls: [u32; 2],
     pub idle: Micros,
     pub dial: Micros,
-    /// How long after a change the agents have it.
+    /// Delay until the agents know of a change.
     pub lag: Micros,
     pub drain_grace: Micros,
     #[serde(rename = "max_forwards")]
     pub max_attempts: u16,
     pub max_retry_after: Option<Micros>,
-    /// Descriptors that a proxy is told it may hold.
+    /// The limit of descriptors in a proxy's configuration.
     pub sockets: usize,
     /// A link before each backend.
     pub link: Option<Link>,
-    /// The stand-in balancer's tries and time for each, and its deliberate fault.
+    /// The stand-in balancer's attempts, the timeout of each, and its seeded defect.
     #[serde(rename = "tries")]
     pub baseline_max_attempts: u16,
     #[serde(rename = "try_time")]
     pub baseline_attempt_timeout: Option<Micros>,
     #[serde(rename = "plant")]
     pub seeded_defect: Option<SeededDefect>,
-    /// Each backend is a process of its own, which a crash kills.
+    /// Whether each backend is a process of its own, which a crash kills.
     pub apart: bool,
-    /// Backends and proxies are dealt out over so many zones, and backends into pods of so many.
+    /// Number of zones that backends and proxies are spread over, and number of backends in a pod.
     pub zones: usize,
     pub pod: usize,
-    /// The sizes that its backends have in turn: of cores, and as the list tells it.
+    /// Sizes of the backends, in rotation: each scales the number of cores and stands in the list of
+    /// backends.
     pub sizes: Vec<f64>,
-    /// What lies between the proxies.
+    /// The network between the proxies.
     pub fleet: Option<Fleet>,
 }
 
-/// The ways between the proxies of a tier: all that they tell each other passes them.
+/// The network paths between the proxies of a tier, which all their messages to each other take.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Each way.
+    /// One-way delay.
     pub delay: Micros,
     pub jitter: Micros,
-    /// The part of the datagrams that is lost.
+    /// Share of the datagrams that is lost.
     pub loss: f64,
-    /// Proxies are told of each other; without it there are ways that nobody uses.
+    /// Whether the proxies are configured with each other's addresses; otherwise the paths stay unused.
     pub talk: bool,
-    /// Their configuration is the project's own; with `[fleet]` in it, so that they find each other, or without.
+    /// If set, the proxies are configured in the native format: with `[fleet]`, so that they find each other,
+    /// or without.
     pub members: Option<bool>,
-    /// How many proxies there usually are, as their configuration says; nothing without it.
+    /// The usual number of proxies that their configuration states; left out if unset.
     pub expected: Option<usize>,
-    /// How often each is asked whom it sees.
+    /// Interval at which each proxy is asked for its view of the fleet.
     pub watch: Micros,
-    /// So many duties, each of which one member holds; for how long at a time, and how many of the first members vote.
+    /// Number of duties, each of which one member holds; the length of a lease, and how many of the first
+    /// members vote.
     pub duties: usize,
     pub lease: Micros,
     pub voters: usize,
@@ -146,25 +155,26 @@
 }
 
 impl Tier {
-    /// The size of its n-th backend; 1 where no sizes are given.
+    /// The size of the n-th backend; 1 if no sizes are given.
     pub fn size(&self, n: usize) -> f64 {
         self.sizes.get(n % self.sizes.len().max(1)).copied().unwrap_or(1.0)
     }
 
-    /// How many cores its n-th backend has.
+    /// Number of cores of the n-th backend.
     pub fn core_count(&self, n: usize) -> usize {
         ((self.cores as f64 * self.size(n)).round() as usize).max(1)
     }
 
-    /// Requests of work 1 that a backend of so many cores can do in the window in which it may fall over, `age` after it
-    /// started cold.
+    /// Requests of work 1 that a backend with `cores` cores can serve within `fall_window`, `age` after a
+    /// cold start.
     pub fn fall_window_capacity(&self, cores: usize, age: Micros) -> f64 {
         let warmed = age.secs() / self.cold_ramp.secs().max(1e-6);
         let warmth = (self.cold_share + (1.0 - self.cold_share) * warmed).min(1.0);
         self.fall_window.secs() / self.service.secs().max(1e-6) * cores as f64 * warmth
     }
 
-    /// How many of them, offered in that window, push it over. Below a few dozen chance alone makes such multiples.
+    /// Number of requests within `fall_window` above which the backend falls over. At least 30: below a few
+    /// dozen, such multiples occur by chance.
     pub fn fall_threshold(&self, capacity: f64) -> f64 {
         (capacity * self.fall_multiple).max(30.0)
     }
@@ -224,12 +234,12 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Link {
-    /// Each way.
+    /// One-way delay.
     pub delay: Micros,
     pub jitter: Micros,
-    /// Bytes a second each way; 0 is no bound.
+    /// Bytes per second in each direction; 0 means unlimited.
     pub rate: u64,
-    /// Bytes that may be under way in one direction of a connection.
+    /// Bytes in transit in one direction of a connection.
     pub buffer: usize,
 }
 
@@ -244,13 +254,13 @@
 pub enum Effect {
     #[serde(rename = "reissuable")]
     Safe,
-    /// Repeats are dropped by the backends of a group, within a window.
+    /// The backends of a group drop repeats within a window.
     #[serde(rename = "numbered")]
     Keyed,
     AtMostOnce,
 }
 
-/// The backends that drop each other's repeats.
+/// The backends that recognize repeats of each other's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Group {
@@ -267,47 +277,48 @@
     pub latency_target: Micros,
     #[serde(rename = "cut_off")]
     pub deadline: Micros,
-    #[serde(default = "one")]
+    #[serde(default = "default_ratio")]
     pub value: f64,
     pub effect: Effect,
     pub group: Option<Group>,
     pub window: Option<Micros>,
-    /// Its part of the arrivals.
-    #[serde(default = "one")]
+    /// Relative share of the arrivals.
+    #[serde(default = "default_ratio")]
     pub share: f64,
-    /// Times the service time.
-    #[serde(default = "one")]
+    /// Multiple of the service time.
+    #[serde(default = "default_ratio")]
     pub work: f64,
     #[serde(default)]
     pub body: usize,
 }
 
-fn one() -> f64 {
+fn default_ratio() -> f64 {
     1.0
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second that callers mean to send, whatever becomes of them (an open loop).
+    /// Requests per second, sent independently of the responses (open loop).
     #[serde(default)]
     pub rate: f64,
-    /// Instead, so many callers that each send the next when the last is over (a closed loop).
+    /// Instead of a rate: number of clients that each send the next request when the last has ended (closed
+    /// loop).
     #[serde(default)]
     pub closed: usize,
     #[serde(default, rename = "step")]
     pub steps: Vec<RateStep>,
-    /// So many at once, every so often, on top.
+    /// Additional requests that all arrive at once, at an interval.
     pub burst: Option<Burst>,
-    /// The part of the arrivals that comes from one caller.
+    /// Share of the arrivals that comes from one client.
     #[serde(default)]
     pub hot: f64,
-    /// How many callers there are.
-    #[serde(default = "fifty", rename = "callers")]
+    /// Number of clients.
+    #[serde(default = "default_clients", rename = "callers")]
     pub clients: usize,
 }
 
-fn fifty() -> usize {
+fn default_clients() -> usize {
     50
 }
 
@@ -316,7 +327,7 @@
 pub struct RateStep {
     pub at: Micros,
     pub rate: f64,
-    /// Drawn as a line from the step before instead of at once.
+    /// Whether the rate changes linearly from the step before instead of at once.
     #[serde(default)]
     pub ramp: bool,
 }
@@ -331,23 +342,23 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientBehavior {
-    /// Further tries of what was refused or may be repeated.
+    /// Retries of requests that were refused or may be repeated.
     pub retries: u16,
     pub backoff: Micros,
-    /// The part of them that waits as long as `Retry-After` says.
+    /// Share of the retries that waits as long as `Retry-After` says.
     pub honour: f64,
     pub marks: bool,
-    /// Connections are kept for the next request.
+    /// Whether connections are kept for the next request.
     pub keep: bool,
-    /// The part that leaves before its time, and after which part of the cut-off.
+    /// Share of the requests whose client leaves early, and the share of the deadline after which it does.
     pub impatient: f64,
     pub leave_at: f64,
-    /// The parts that read answers, or send requests, a few bytes at a time.
+    /// Shares of the requests whose client reads the response, or sends the request, a few bytes at a time.
     pub slow_read: f64,
     pub slow_send: f64,
-    /// The part that sends nonsense instead.
+    /// Share of the requests that are malformed.
     pub bad: f64,
-    /// Connections that each ask once before the load begins, and say nothing after that.
+    /// Connections that each send one request before the load begins and are idle after that.
     pub idle: usize,
     pub link: Option<Link>,
 }
--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -1,4 +1,4 @@
-//! A fault as a scenario words it, and which parts and ways it befalls.
+//! A fault of a scenario, and the components and network paths that it affects.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,63 +8,65 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub at: Micros,
-    /// How long it lasts; without it, until the end.
+    /// Its duration; without one it lasts until the end.
     #[serde(rename = "for", skip_serializing_if = "Option::is_none")]
     pub duration: Option<Micros>,
-    /// Such as `front/s-0`, `front/s-0..3`, `front/s-0,2,5`, or `front/s-*` for all: s backends, p proxies, a agents, l
-    /// links before backends, c links before proxies, w the ways of a proxy to and from the others; or `callers`.
+    /// The affected components, such as `front/s-0`, `front/s-0..3`, `front/s-0,2,5`, or `front/s-*` for all.
+    /// Kinds: s backends, p proxies, a agents, l links before backends, c links before proxies, w the network
+    /// paths between a proxy and the others. `callers` means the clients.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub part: String,
     pub kind: FaultKind,
-    /// Between proxies: parted sides, each a list of proxies such as `front/p-0..3`.
+    /// Between proxies: the sides of a partition, each a list of proxies such as `front/p-0..3`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub sides: Vec<Vec<String>>,
-    /// Between proxies: the ways from the first to the second of each pair, and back.
+    /// Between proxies: the paths from the first to the second of each pair, and back.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pairs: Vec<[String; 2]>,
-    /// Of a bridge: the one proxy that both sides reach.
+    /// For a bridge: the one proxy that both sides reach.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub through: Option<String>,
-    /// For the parts that match, one after another with this between.
+    /// Interval between the components that match: the fault begins at one after another.
     #[serde(default, skip_serializing_if = "Micros::is_zero")]
     pub step: Micros,
-    /// So many times, each so long after the last.
-    #[serde(default = "once", skip_serializing_if = "is_once")]
+    /// Number of repetitions, and the interval between them.
+    #[serde(default = "one_time", skip_serializing_if = "is_one_time")]
     pub times: u32,
     #[serde(default, skip_serializing_if = "Micros::is_zero")]
     pub every: Micros,
-    /// How much: times as slow, the part of its time that a proxy has, a delay or an age in ms, versions to jump back
-    /// by, datagrams a second.
+    /// Magnitude by kind: a slowdown factor, the share of time in which a proxy runs, a delay or an age in
+    /// ms, the number of versions to jump back by, or datagrams per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub amount: Option<f64>,
-    /// On top of a delay, up to this.
+    /// Maximum random addition to a delay.
     #[serde(default, skip_serializing_if = "Micros::is_zero")]
     pub jitter: Micros,
-    /// The part of the requests, or of the datagrams, that it hits; all without it.
+    /// Share of the requests, or of the datagrams, that it affects; all if unset.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub chance: Option<f64>,
-    /// Hits only each n-th request.
+    /// Affects only each n-th request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub nth: Option<u64>,
-    /// Returns at another address.
+    /// Whether the backend returns at another address.
     #[serde(default, skip_serializing_if = "is_false")]
     pub moves: bool,
-    /// Of a drain: its process stays and refuses until the fault is over, instead of ending once it is idle.
+    /// For a drain: whether the process stays and refuses requests until the fault ends, instead of exiting
+    /// once idle.
     #[serde(default, skip_serializing_if = "is_false")]
     pub stays: bool,
-    /// Of a link or of ways: only one direction.
+    /// For a link or for paths: the one direction that is affected.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub direction: Option<Direction>,
-    /// The list that a proxy which returns has in its file.
+    /// The list of backends that a returning proxy has in its file.
     #[serde(default, skip_serializing_if = "KnownBackends::is_old")]
     pub known: KnownBackends,
 }
 
-fn once() -> u32 {
+fn one_time() -> u32 {
     1
 }
 
-fn is_once(times: &u32) -> bool {
+fn is_one_time(times: &u32) -> bool {
     *times == 1
 }
 
@@ -72,11 +74,11 @@
     !value
 }
 
-/// The list of backends that a proxy finds in its file when it starts anew.
+/// The list of backends that a proxy finds in its file when it is restarted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KnownBackends {
-    /// As it was when the run began.
+    /// The list at the start of the run.
     #[default]
     Old,
     None,
@@ -90,13 +92,13 @@
 }
 
 impl Fault {
-    /// One that begins when it is given, by the name of its kind.
+    /// A fault that begins when it is injected, by the name of its kind.
     pub fn now(part: &str, kind: &str, lasts: Micros) -> Option<Fault> {
         let kind = serde_json::from_value(serde_json::Value::String(kind.to_string())).ok()?;
         Some(Fault { part: part.to_string(), duration: Some(lasts), kind, times: 1, ..Fault::default() })
     }
 
-    /// How it is told of in the records.
+    /// Its description in the records.
     pub fn text(&self, part: &str) -> String {
         let sides = |sides: &[Vec<String>]| {
             sides.iter().map(|side| side.join("+")).collect::<Vec<_>>().join(" from ")
@@ -111,17 +113,18 @@
     }
 }
 
-/// The numbers that the last part of a name means, of so many: `3`, `0..5` with both ends, `0,2,7..9`, or `*`.
-pub fn numbers(text: &str, count: usize) -> Vec<usize> {
-    let one = |piece: &str| -> Option<Vec<usize>> {
-        let (from, to) = piece.split_once("..").unwrap_or((piece, piece));
+/// The component numbers below `count` that a pattern selects: `3`, `0..5` with both ends, `0,2,7..9`, or
+/// `*`.
+pub fn parse_numbers(text: &str, count: usize) -> Vec<usize> {
+    let parse_range = |range: &str| -> Option<Vec<usize>> {
+        let (from, to) = range.split_once("..").unwrap_or((range, range));
         let (from, to) = (from.parse::<usize>().ok()?, to.parse::<usize>().ok()?);
         (from <= to && to < count).then(|| (from..=to).collect())
     };
     if text == "*" {
         return (0..count).collect();
     }
-    let all: Option<Vec<Vec<usize>>> = text.split(',').map(one).collect();
+    let all: Option<Vec<Vec<usize>>> = text.split(',').map(parse_range).collect();
     let mut all = all.unwrap_or_default().concat();
     all.sort_unstable();
     all.dedup();
@@ -131,7 +134,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// From the side that connected.
+    /// From the side that opened the connection.
     Forth,
     Back,
 }
@@ -139,10 +142,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    // of backends
+    // Backends.
     #[default]
     Stall,
-    /// Of proxies too: stopped and let go in turns.
+    /// Also for proxies, which are paused and resumed in turn.
     Slow,
     Crash,
     Drain,
@@ -157,33 +160,33 @@
     WrongLength,
     Late,
     Silence,
-    // of agents
+    // Agents.
     Mute,
     Stale,
     JumpBack,
     Move,
-    /// Its connections are reset, and no new ones come up.
+    /// Connections are reset and no new ones can be opened.
     Cut,
-    /// Tells the list as it was some time ago.
+    /// The agent serves the list as it was some time ago.
     Behind,
-    // of links
+    // Links.
     Reset,
     Close,
     HalfOpen,
     BlackHole,
-    /// Of agents and of ways too.
+    /// Also for agents and network paths.
     Delay,
-    // of proxies
+    // Proxies.
     Kill,
     Term,
     Freeze,
-    /// Told to go, and started anew once it has ended.
+    /// Asked to exit, and started again once it has.
     Restart,
-    /// Not there before; callers are spread over it too from then on.
+    /// The proxy is absent before; from then on clients use it too.
     Grow,
-    /// Gone for good.
+    /// The proxy leaves for good.
     Shrink,
-    // of the ways between proxies
+    // Network paths between proxies.
     Partition,
     Bridge,
     Loss,
@@ -191,14 +194,14 @@
     Duplicate,
     Corrupt,
     Replay,
-    /// From an address that is nobody's.
+    /// Datagrams from an address that belongs to no proxy.
     Flood,
-    // of the callers
+    // Clients.
     Herd,
 }
 
 impl FaultKind {
-    /// The letters of the parts that it can befall.
+    /// The letters of the component kinds that it can affect.
     pub fn component_kinds(self) -> &'static str {
         use FaultKind::*;
         match self {
@@ -213,19 +216,19 @@
         }
     }
 
-    /// Whether a backend that has it gives no answers.
+    /// Whether an affected backend sends no responses.
     pub fn prevents_responses(self) -> bool {
         use FaultKind::*;
         matches!(self, Crash | Stall | Silence | Endless)
     }
 
-    /// Whether it makes a proxy or a backend come or go.
+    /// Whether it makes a proxy or a backend join or leave.
     pub fn changes_membership(self) -> bool {
         use FaultKind::*;
         matches!(self, Crash | Drain | Kill | Term | Restart | Grow | Shrink)
     }
 
-    /// Whether a proxy that has it must be a process.
+    /// Whether an affected proxy must be a process of its own.
     pub fn needs_process(self) -> bool {
         use FaultKind::*;
         matches!(self, Kill | Term | Freeze | Restart | Grow | Shrink | Slow)
--- a/crates/lab/src/fault_range.rs
+++ b/crates/lab/src/fault_range.rs
@@ -1,26 +1,27 @@
-//! What a search may draw, as a scenario words it: kinds of faults with their ranges.
+//! The faults that a search may draw, as a scenario describes them: kinds of faults with their ranges.
 
 use serde::Deserialize;
 
 use crate::clock::Micros;
 use crate::fault::FaultKind;
 
-/// The `[hunt]` of a scenario. Without kinds, all that can befall its parts are drawn.
+/// The `[hunt]` table of a scenario. Without kinds, all that can affect its components are drawn.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SearchSpace {
-    /// The fewest and the most faults of a schedule.
+    /// Minimum and maximum number of faults in a schedule.
     pub faults: Option<[usize; 2]>,
     #[serde(rename = "fault")]
     pub ranges: Vec<FaultRange>,
 }
 
-/// One kind of fault, and between what it is drawn.
+/// One kind of fault with the ranges that its values are drawn from.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultRange {
     pub kind: FaultKind,
-    /// One of the parts that these mean; for a partition or a bridge the proxies that are dealt out to sides.
+    /// Patterns of components, one of which is drawn; for a partition or a bridge, the proxies that are
+    /// spread over the sides.
     #[serde(default)]
     pub parts: Vec<String>,
     pub at: Option<[Micros; 2]>,
@@ -28,12 +29,12 @@
     pub duration: Option<[Micros; 2]>,
     pub amount: Option<[f64; 2]>,
     pub chance: Option<[f64; 2]>,
-    /// How often it is drawn beside the others.
-    #[serde(default = "one")]
+    /// Relative frequency among the kinds.
+    #[serde(default = "default_weight")]
     pub weight: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -43,7 +44,7 @@
         FaultRange { kind, parts: vec![part], at, duration, amount, chance, weight: 1.0 }
     }
 
-    /// What is drawn of the amount where the file says nothing.
+    /// The range of the amount, with a default by kind.
     pub fn amounts(&self, letter: char) -> Option<[f64; 2]> {
         use FaultKind::*;
         self.amount.or(match self.kind {
@@ -58,6 +59,7 @@
         })
     }
 
+    /// The range of the chance, with a default by kind.
     pub fn chances(&self) -> Option<[f64; 2]> {
         use FaultKind::*;
         self.chance.or(match self.kind {
--- a/crates/lab/src/fault_schedule.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults, drawn from what a scenario allows; the same for the same seed.
+//! Draws schedules of faults from the ranges of a scenario; the same seed gives the same schedule.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -7,11 +7,11 @@
 use crate::fault_range::FaultRange;
 use crate::scenario::{Balance, Direction, Fault, FaultKind, KnownBackends, Scenario};
 
-const FEWEST_MOST: [usize; 2] = [1, 4]; // faults of a schedule, unless the file says
-const SHORTEST: Micros = Micros::from_millis(200);
-const ROUND: f64 = 10_000.0; // us, to which times are rounded so that people can read them
+const DEFAULT_FAULT_COUNTS: [usize; 2] = [1, 4]; // minimum and maximum per schedule
+const MIN_FAULT_DURATION: Micros = Micros::from_millis(200);
+const ROUNDING_US: f64 = 10_000.0; // times are rounded to 10 ms to be readable
 
-/// An error says which of the kinds is wrong, if one is.
+/// Checks the search's settings; an error names the index of the wrong kind, if it is about one.
 pub fn check(scenario: &Scenario) -> Result<(), (Option<usize>, String)> {
     if let Some([fewest, most]) = scenario.hunt.faults.filter(|[fewest, most]| *fewest == 0 || fewest > most)
     {
@@ -31,7 +31,7 @@
             match scenario.components(part).first() {
                 Some((_, letter, _)) if letters.contains(*letter) => {}
                 Some(_) => return fail(format!("parts: {part:?}: wanted the kind {letters:?}")),
-                // A stand-in has no agent: what would befall one is not drawn.
+                // A stand-in has no agent, so faults of agents are not drawn.
                 None if part.contains("/a-")
                     && scenario.tiers.iter().any(|tier| tier.balance != Balance::Sparlug) => {}
                 None => {
@@ -54,13 +54,13 @@
     Ok(())
 }
 
-/// The kinds that are drawn over a deployment.
-fn ranges(scenario: &Scenario) -> Vec<FaultRange> {
+/// The kinds to draw from: those of the file, or all that can affect the deployment's components.
+fn fault_ranges(scenario: &Scenario) -> Vec<FaultRange> {
     use FaultKind::*;
     if !scenario.hunt.ranges.is_empty() {
-        let there =
+        let has_components =
             |range: &&FaultRange| range.parts.iter().any(|part| !scenario.components(part).is_empty());
-        return scenario.hunt.ranges.iter().filter(there).cloned().collect();
+        return scenario.hunt.ranges.iter().filter(has_components).cloned().collect();
     }
     let mut all = Vec::new();
     for tier in &scenario.tiers {
@@ -81,42 +81,42 @@
     all
 }
 
-/// A schedule, the same for the same seed.
+/// Draws a schedule, the same for the same seed.
 pub fn draw_schedule(scenario: &Scenario, seed: u64) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x4a07);
-    let ranges = ranges(scenario);
-    let [fewest, most] = scenario.hunt.faults.unwrap_or(FEWEST_MOST);
+    let ranges = fault_ranges(scenario);
+    let [fewest, most] = scenario.hunt.faults.unwrap_or(DEFAULT_FAULT_COUNTS);
     let weights: f64 = ranges.iter().map(|range| range.weight).sum();
-    let one = |_| {
-        let mut left = rng.random::<f64>() * weights;
+    let fault = |_| {
+        let mut remaining = rng.random::<f64>() * weights;
         let range = ranges.iter().find(|range| {
-            left -= range.weight;
-            left < 0.0
+            remaining -= range.weight;
+            remaining < 0.0
         });
         let range = range.or(ranges.last())?;
-        Some(draw_one(range, scenario, &mut rng))
+        Some(draw_fault(range, scenario, &mut rng))
     };
     let count = ChaCha8Rng::seed_from_u64(seed).random_range(fewest..=most);
-    let mut faults: Vec<Fault> = (0..count).filter_map(one).collect();
+    let mut faults: Vec<Fault> = (0..count).filter_map(fault).collect();
     faults.retain(|fault| scenario.check_fault(fault).is_ok());
     faults.sort_by_key(|fault| fault.at);
     faults
 }
 
-fn between(rng: &mut ChaCha8Rng, [from, to]: [f64; 2]) -> f64 {
+fn draw_between(rng: &mut ChaCha8Rng, [from, to]: [f64; 2]) -> f64 {
     from + (to - from) * rng.random::<f64>()
 }
 
-fn span(rng: &mut ChaCha8Rng, [from, to]: [Micros; 2]) -> Micros {
-    let drawn = between(rng, [from.0 as f64, to.0 as f64]);
-    Micros(((drawn / ROUND).round() * ROUND) as i64)
+fn draw_span(rng: &mut ChaCha8Rng, [from, to]: [Micros; 2]) -> Micros {
+    let drawn = draw_between(rng, [from.0 as f64, to.0 as f64]);
+    Micros(((drawn / ROUNDING_US).round() * ROUNDING_US) as i64)
 }
 
-fn draw_one(range: &FaultRange, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
+fn draw_fault(range: &FaultRange, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
     let lasts = scenario.duration;
-    let at = span(rng, range.at.unwrap_or([lasts.scaled(0.05), lasts.scaled(0.7)]));
-    let most = lasts.scaled(0.4).max(SHORTEST);
-    let length = span(rng, range.duration.unwrap_or([SHORTEST, most]));
+    let at = draw_span(rng, range.at.unwrap_or([lasts.scaled(0.05), lasts.scaled(0.7)]));
+    let most = lasts.scaled(0.4).max(MIN_FAULT_DURATION);
+    let length = draw_span(rng, range.duration.unwrap_or([MIN_FAULT_DURATION, most]));
     let place = rng.random_range(0..range.parts.len().max(1));
     let found = range.parts.get(place).map(|part| scenario.components(part)).unwrap_or_default();
     let (tier, letter, n) = match found.len() {
@@ -130,8 +130,8 @@
     }
     fault.part = name(letter, n);
     let rounded = |value: f64| (value * 100.0).round() / 100.0;
-    fault.amount = range.amounts(letter).map(|range| rounded(between(rng, range)));
-    fault.chance = range.chances().map(|range| rounded(between(rng, range)));
+    fault.amount = range.amounts(letter).map(|range| rounded(draw_between(rng, range)));
+    fault.chance = range.chances().map(|range| rounded(draw_between(rng, range)));
     if matches!(range.kind, FaultKind::Restart | FaultKind::Kill | FaultKind::Term) {
         fault.known = [KnownBackends::Old, KnownBackends::Old, KnownBackends::None, KnownBackends::Now]
             [rng.random_range(0..4)];
--- a/crates/lab/src/fleet_poller.rs
+++ b/crates/lab/src/fleet_poller.rs
@@ -1,4 +1,4 @@
-//! Asks proxies at their operators' addresses whom they see, and records it.
+//! Polls the proxies' management addresses for their view of the fleet and records it.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,28 +12,28 @@
 use crate::clock::{At, Micros};
 use crate::record::{RecordKind, Recorder};
 
-const PATIENCE: Duration = Duration::from_millis(100); // one that is stopped answers nothing
+const VIEW_TIMEOUT: Duration = Duration::from_millis(100); // a paused proxy does not respond
 
-/// A thread that asks some proxies in turn, until this is dropped.
+/// A thread that polls some proxies in turn; dropping this value ends it.
 pub struct FleetPoller {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl FleetPoller {
-    pub fn new(proxies: Vec<(String, SocketAddr)>, every: Micros, recorder: &Recorder) -> FleetPoller {
+    pub fn new(proxies: Vec<(String, SocketAddr)>, interval: Micros, recorder: &Recorder) -> FleetPoller {
         let (stop, recorder) = (Arc::new(AtomicBool::new(false)), recorder.clone());
-        let told = stop.clone();
+        let stop_requested = stop.clone();
         let thread = std::thread::spawn(move || {
-            while !told.load(Ordering::Relaxed) {
-                let began = Instant::now();
+            while !stop_requested.load(Ordering::Relaxed) {
+                let round_start = Instant::now();
                 for (proxy, address) in &proxies {
-                    let asked = At::now();
-                    for what in view(proxy, *address, asked).into_iter().flatten() {
+                    let requested_at = At::now();
+                    for what in fetch_view(proxy, *address, requested_at).into_iter().flatten() {
                         recorder.write(At::now(), what);
                     }
                 }
-                while began.elapsed() < every.duration() && !told.load(Ordering::Relaxed) {
+                while round_start.elapsed() < interval.duration() && !stop_requested.load(Ordering::Relaxed) {
                     std::thread::sleep(Duration::from_millis(10));
                 }
             }
@@ -51,21 +51,21 @@
     }
 }
 
-fn view(proxy: &str, address: SocketAddr, asked: At) -> Option<Vec<RecordKind>> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+fn fetch_view(proxy: &str, address: SocketAddr, requested_at: At) -> Option<Vec<RecordKind>> {
+    let mut stream = TcpStream::connect_timeout(&address, VIEW_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(VIEW_TIMEOUT)).ok()?;
     stream.write_all(b"GET /fleet HTTP/1.1\r\nHost: lab\r\n\r\n").ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
     let json: Value = serde_json::from_str(text.split_once("\r\n\r\n")?.1).ok()?;
-    let named = |wanted: &[&str]| {
+    let names_in_state = |states: &[&str]| {
         let members = json["members"].as_array().into_iter().flatten();
         let found =
-            members.filter(|member| member["state"].as_str().is_some_and(|state| wanted.contains(&state)));
+            members.filter(|member| member["state"].as_str().is_some_and(|state| states.contains(&state)));
         found.filter_map(|member| Some(member["name"].as_str()?.to_string())).collect()
     };
-    let (there, dead) = (named(&["alive", "suspect"]), named(&["dead"]));
-    let took = At::now().since(asked).0;
+    let (there, dead) = (names_in_state(&["alive", "suspect"]), names_in_state(&["dead"]));
+    let took = At::now().since(requested_at).0;
     let duties = json["duties"].as_array().into_iter().flatten();
     let held = duties.filter(|duty| duty["held_here"] == true).filter_map(|duty| {
         let (duty, term) = (duty["name"].as_str()?.to_string(), duty["term"].as_u64()?);
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,5 +1,5 @@
-//! A proxy's process over its lives: started, ready, stopped and let go, told to go, killed, gone, there again; and what
-//! it uses of the machine.
+//! The process of a proxy: start, readiness, pauses, shutdown, kill and restart, and its use of CPU time,
+//! memory and descriptors.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -19,102 +19,103 @@
 use crate::rules::SLOW_PROXY_PERIOD;
 use crate::scenario::KnownBackends;
 
-/// For a proxy to come up.
-pub const READY: Micros = Micros::from_millis(10_000);
-/// One told to go gets its time: SIGKILL comes no sooner than the longest cut-off and more.
-const GOING: Micros = Micros::from_millis(4000);
-const ASK: Duration = Duration::from_millis(100); // for an answer of one that may be stopped
-const ASK_EVERY: Micros = Micros::from_millis(5);
+/// Time within which a proxy must become ready.
+pub const START_TIMEOUT: Micros = Micros::from_millis(10_000);
+/// Time from a graceful stop to SIGKILL: longer than the longest deadline, so that open requests can end.
+const STOP_TIMEOUT: Micros = Micros::from_millis(4000);
+const READY_CHECK_TIMEOUT: Duration = Duration::from_millis(100); // the process may be paused and not respond
+const READY_CHECK_INTERVAL: Micros = Micros::from_millis(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
-    /// Does not belong to the deployment.
-    Absent,
+pub enum ProcessState {
+    /// Is not part of the deployment.
+    NotDeployed,
     Starting(At),
-    Up,
-    /// Told to go.
-    Going(At),
-    Down,
+    Ready,
+    /// Asked to exit, at that time.
+    Stopping(At),
+    Stopped,
 }
 
 pub struct Process {
     pub name: String,
     pub tier: usize,
-    pub n: usize,
+    pub index: usize,
     pub address: SocketAddr,
     pub config: PathBuf,
     pub child: Option<Child>,
-    /// Where a stand-in is told things; the program has none.
+    /// Standard input of a stand-in, which takes commands; the proxy program has none.
     input: Option<ChildStdin>,
-    pub life: Life,
-    /// It is to belong to the deployment.
-    pub wanted: bool,
-    /// The list that its next life finds in its file.
-    pub known: KnownBackends,
-    /// Faults that keep it down.
-    pub downs: BTreeSet<FaultId>,
-    /// Faults that keep it from running but for a part of its time.
-    halts: BTreeMap<FaultId, f64>,
-    halted: bool,
-    asked: At,
-    used: Used,
+    pub state: ProcessState,
+    /// Whether the process is part of the deployment and so has to run.
+    pub deployed: bool,
+    /// Which list of backends the configuration holds at the next start.
+    pub known_backends: KnownBackends,
+    /// Faults that keep the process stopped.
+    pub stop_faults: BTreeSet<FaultId>,
+    /// Faults that pause the process, with the share of time in which it still runs.
+    pauses: BTreeMap<FaultId, f64>,
+    paused: bool,
+    last_ready_check: At,
+    usage_baseline: UsageSample,
 }
 
-/// What a process has used up to a moment.
+/// Resource counters of a process at one point in time.
 #[derive(Clone, Copy, Default)]
-struct Used {
+struct UsageSample {
     at: At,
     cpu_ns: u64,
     wakeups: u64,
     memory: u64,
 }
 
-/// What became of a process since the last look.
-pub enum Became {
-    Nothing,
-    Up,
-    /// Its end, which was asked for.
-    Gone,
-    /// It ended by itself, with what it said last.
+/// Change of a process's state since the last poll.
+pub enum StateChange {
+    Unchanged,
+    Ready,
+    /// It exited as requested.
+    Stopped,
+    /// It exited unasked; holds the exit status and the last line of its log.
     Crashed(String),
-    /// It is not ready after all this time.
-    Late,
+    /// It was not ready within `START_TIMEOUT`.
+    StartTimedOut,
 }
 
 impl Process {
-    pub fn new(name: String, (tier, n): (usize, usize), address: SocketAddr, config: PathBuf) -> Process {
-        let (child, input, downs, halts, halted, asked, used) = Default::default();
-        let (life, wanted, known) = (Life::Absent, true, KnownBackends::Old);
+    pub fn new(name: String, (tier, index): (usize, usize), address: SocketAddr, config: PathBuf) -> Process {
+        let (child, input, stop_faults, pauses, paused, last_ready_check, usage_baseline) =
+            Default::default();
+        let (state, deployed, known_backends) = (ProcessState::NotDeployed, true, KnownBackends::Old);
         Process {
             name,
             tier,
-            n,
+            index,
             address,
             config,
             child,
             input,
-            life,
-            wanted,
-            known,
-            downs,
-            halts,
-            halted,
-            asked,
-            used,
+            state,
+            deployed,
+            known_backends,
+            stop_faults,
+            pauses,
+            paused,
+            last_ready_check,
+            usage_baseline,
         }
     }
 
-    pub fn started(&mut self, child: Child, input: Option<ChildStdin>) {
-        (self.child, self.life) = (Some(child), Life::Starting(At::now()));
+    pub fn set_started(&mut self, child: Child, input: Option<ChildStdin>) {
+        (self.child, self.state) = (Some(child), ProcessState::Starting(At::now()));
         self.input = input;
-        (self.halted, self.used) = (false, Used::default());
-        // Faults that began under an earlier life do not follow it into this one.
-        self.halts.clear();
-        self.used.at = At::now();
+        (self.paused, self.usage_baseline) = (false, UsageSample::default());
+        // Pauses that began before a restart do not apply to the new process.
+        self.pauses.clear();
+        self.usage_baseline.at = At::now();
     }
 
     pub fn is_running(&self) -> bool {
-        matches!(self.life, Life::Starting(_) | Life::Up)
+        matches!(self.state, ProcessState::Starting(_) | ProcessState::Ready)
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -124,105 +125,107 @@
         }
     }
 
-    /// Stops it but for a part of its time; tells what to record, if it runs at all.
-    pub fn halt(&mut self, fault_id: FaultId, share: f64) -> Option<RecordKind> {
+    /// Pauses the process except for a share of its time; returns the record to write if the process runs.
+    pub fn pause(&mut self, fault_id: FaultId, share: f64) -> Option<RecordKind> {
         if !self.is_running() {
             return None;
         }
-        self.halts.insert(fault_id, share);
+        self.pauses.insert(fault_id, share);
         let how = if share > 0.0 { format!("slow {share}") } else { "freeze".to_string() };
-        self.run_in_turns(At::now());
+        self.apply_pauses(At::now());
         Some(RecordKind::ProxyDown { proxy: self.name.clone(), how })
     }
 
-    /// Ends a stop; tells what to record if none is left.
-    pub fn go_on(&mut self, fault_id: FaultId) -> Option<RecordKind> {
-        self.halts.remove(&fault_id)?;
-        self.run_in_turns(At::now());
-        (self.halts.is_empty() && self.life == Life::Up)
+    /// Ends one pause; returns the record to write if no other pause is left.
+    pub fn resume(&mut self, fault_id: FaultId) -> Option<RecordKind> {
+        self.pauses.remove(&fault_id)?;
+        self.apply_pauses(At::now());
+        (self.pauses.is_empty() && self.state == ProcessState::Ready)
             .then(|| RecordKind::ProxyUp { proxy: self.name.clone() })
     }
 
-    /// Stops it or lets it go, as its part of the time has it.
-    pub fn run_in_turns(&mut self, now: At) {
-        let share = self.halts.values().copied().fold(1.0, f64::min);
-        let part = now.0.rem_euclid(SLOW_PROXY_PERIOD.0) as f64 / SLOW_PROXY_PERIOD.0 as f64;
-        let stop = part >= share && !self.halts.is_empty();
-        if stop != self.halted {
-            self.halted = stop;
+    /// Sends SIGSTOP or SIGCONT so that the process runs for the smallest share that its pauses allow.
+    pub fn apply_pauses(&mut self, now: At) {
+        let share = self.pauses.values().copied().fold(1.0, f64::min);
+        let position = now.0.rem_euclid(SLOW_PROXY_PERIOD.0) as f64 / SLOW_PROXY_PERIOD.0 as f64;
+        let stop = position >= share && !self.pauses.is_empty();
+        if stop != self.paused {
+            self.paused = stop;
             self.signal(if stop { Signal::STOP } else { Signal::CONT });
         }
     }
 
-    /// Tells a stand-in something.
-    pub fn tell(&mut self, command: &Command) {
+    /// Sends a command to a stand-in.
+    pub fn send_command(&mut self, command: &Command) {
         let (Ok(mut line), Some(input)) = (serde_json::to_vec(command), &mut self.input) else { return };
         line.push(b'\n');
         let _ = input.write_all(&line).and_then(|()| input.flush());
     }
 
-    /// Ends it, outright or by telling it to go.
-    pub fn end(&mut self, outright: bool) {
+    /// Stops the process, by SIGKILL or gracefully.
+    pub fn stop(&mut self, kill: bool) {
         match &self.input {
-            Some(_) if !outright => self.tell(&Command::Balancer(balancer::Command::Leave)),
-            _ => self.signal(if outright { Signal::KILL } else { Signal::TERM }),
+            Some(_) if !kill => self.send_command(&Command::Balancer(balancer::Command::Leave)),
+            _ => self.signal(if kill { Signal::KILL } else { Signal::TERM }),
         }
-        if outright {
-            self.halts.clear();
-            self.halted = false;
+        if kill {
+            self.pauses.clear();
+            self.paused = false;
         }
-        self.life = Life::Going(At::now());
+        self.state = ProcessState::Stopping(At::now());
     }
 
-    /// Looks what became of it. Never waits for long.
-    pub fn look(&mut self, now: At) -> Became {
-        self.run_in_turns(now);
+    /// Applies pauses and checks for exit, readiness and timeouts. Blocks for a readiness check at most.
+    pub fn poll(&mut self, now: At) -> StateChange {
+        self.apply_pauses(now);
         let ended = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
-        match (self.life, ended) {
-            (Life::Absent | Life::Down, _) => Became::Nothing,
-            (Life::Going(_), Some(_)) => {
-                (self.child, self.life) = (None, Life::Down);
-                Became::Gone
+        match (self.state, ended) {
+            (ProcessState::NotDeployed | ProcessState::Stopped, _) => StateChange::Unchanged,
+            (ProcessState::Stopping(_), Some(_)) => {
+                (self.child, self.state) = (None, ProcessState::Stopped);
+                StateChange::Stopped
             }
-            (Life::Going(since), None) => {
-                if now.since(since) > GOING {
+            (ProcessState::Stopping(since), None) => {
+                if now.since(since) > STOP_TIMEOUT {
                     self.signal(Signal::KILL);
                 }
-                Became::Nothing
+                StateChange::Unchanged
             }
             (_, Some(status)) => {
-                (self.child, self.life) = (None, Life::Down);
+                (self.child, self.state) = (None, ProcessState::Stopped);
                 let log = fs::read_to_string(self.config.with_extension("log")).unwrap_or_default();
                 let last = log.lines().last().unwrap_or("it said nothing").to_string();
-                Became::Crashed(format!("{status}: {last}"))
+                StateChange::Crashed(format!("{status}: {last}"))
             }
-            (Life::Starting(since), None) if !self.halted && now.since(self.asked) >= ASK_EVERY => {
-                self.asked = now;
-                if ready(self.address) {
-                    self.life = Life::Up;
-                    return Became::Up;
+            (ProcessState::Starting(since), None)
+                if !self.paused && now.since(self.last_ready_check) >= READY_CHECK_INTERVAL =>
+            {
+                self.last_ready_check = now;
+                if is_ready(self.address) {
+                    self.state = ProcessState::Ready;
+                    return StateChange::Ready;
                 }
-                if now.since(since) > READY {
-                    return Became::Late;
+                if now.since(since) > START_TIMEOUT {
+                    return StateChange::StartTimedOut;
                 }
-                Became::Nothing
+                StateChange::Unchanged
             }
-            _ => Became::Nothing,
+            _ => StateChange::Unchanged,
         }
     }
 
-    /// From here on what it uses is counted.
-    pub fn count_from_here(&mut self) {
-        self.used = self.uses();
+    /// Starts counting resource use from now on.
+    pub fn reset_usage(&mut self) {
+        self.usage_baseline = self.current_usage();
     }
 
-    pub fn memory_from_here(&mut self) {
-        self.used.memory = self.uses().memory;
+    pub fn reset_memory(&mut self) {
+        self.usage_baseline.memory = self.current_usage().memory;
     }
 
-    /// What it has used since, if it is there.
+    /// Resource use since `reset_usage`, if the process exists.
     pub fn usage(&self) -> Option<RecordKind> {
-        let (before, now) = (self.used, self.uses());
+        let (before, now) = (self.usage_baseline, self.current_usage());
         self.child.as_ref()?;
         Some(RecordKind::ResourceUsage {
             proxy: self.name.clone(),
@@ -240,8 +243,9 @@
         path.and_then(|path| fs::read_to_string(path).ok()).unwrap_or_default()
     }
 
-    /// Processor time of its first thread, how often that woke, and the memory that is its own, in bytes.
-    fn uses(&self) -> Used {
+    /// CPU time of the main thread, its wakeups (voluntary context switches), and the private memory in
+    /// bytes.
+    fn current_usage(&self) -> UsageSample {
         let status = self.proc("status");
         let field = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name));
@@ -249,12 +253,12 @@
         };
         let cpu_ns = self.proc("schedstat").split(' ').next().and_then(|text| text.parse().ok()).unwrap_or(0);
         let (wakeups, memory) = (field("voluntary_ctxt_switches:"), field("RssAnon:") * 1024);
-        Used { at: At::now(), cpu_ns, wakeups, memory }
+        UsageSample { at: At::now(), cpu_ns, wakeups, memory }
     }
 
     fn descriptors(&self) -> u64 {
         let path = self.child.as_ref().map(|child| format!("/proc/{}/fd", child.id()));
-        path.and_then(|path| fs::read_dir(path).ok()).map_or(0, |all| all.count() as u64)
+        path.and_then(|path| fs::read_dir(path).ok()).map_or(0, |entries| entries.count() as u64)
     }
 }
 
@@ -267,14 +271,14 @@
     }
 }
 
-fn ready(address: SocketAddr) -> bool {
-    let ask = || -> std::io::Result<bool> {
-        let mut stream = TcpStream::connect_timeout(&address, ASK)?;
-        stream.set_read_timeout(Some(ASK))?;
+fn is_ready(address: SocketAddr) -> bool {
+    let request = || -> std::io::Result<bool> {
+        let mut stream = TcpStream::connect_timeout(&address, READY_CHECK_TIMEOUT)?;
+        stream.set_read_timeout(Some(READY_CHECK_TIMEOUT))?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")?;
-        let mut answer = [0; 12];
-        stream.read_exact(&mut answer)?;
-        Ok(&answer == b"HTTP/1.1 200")
+        let mut status_line = [0; 12];
+        stream.read_exact(&mut status_line)?;
+        Ok(&status_line == b"HTTP/1.1 200")
     };
-    ask().unwrap_or(false)
+    request().unwrap_or(false)
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: builds the deployment that a scenario names, plays its faults, and takes it down again.
+//! One run of a scenario: starts the deployment, applies the load and the faults, and stops everything.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::{self, File, OpenOptions};
@@ -16,50 +16,51 @@
 use crate::backend;
 use crate::clock::{At, Micros};
 use crate::component::{Command, ComponentHandle, Spec};
-use crate::configuration::{self, FleetTold, Told};
+use crate::configuration::{self, FleetSettings, ProxySettings};
 use crate::deployment::zone;
 use crate::fault_steps::{self, FaultStep};
 use crate::fleet_poller::FleetPoller;
-use crate::process::{Became, Life, Process};
+use crate::process::{Process, ProcessState, StateChange};
 use crate::record::{RecordKind, Recorder};
 use crate::scenario::{Balance, Fault, FaultKind, KnownBackends, Scenario, Tier};
 use crate::{arrivals, balancer, clients, peer_network, relay};
 
-const TURN: Duration = Duration::from_millis(2);
-const LOOK_EVERY: Micros = Micros::from_millis(4); // at the proxies' processes
-/// Addresses that others hold are given up for others, so often.
-const OTHER_ADDRESSES: usize = 3;
-const SEEDS: usize = 3;
-const WATCHED: usize = 8; // proxies that one thread asks in turn
-/// The place of an address that no proxy has.
-const NOBODY: usize = MAX_COMPONENTS_PER_KIND;
-const IPS: usize = 250; // of a run, on each of which a kind of part has so many ports:
-const PORTS: u16 = 5;
-/// Of one kind in a tier, for which there are addresses beside that of nobody.
-pub const MAX_COMPONENTS_PER_KIND: usize = IPS * PORTS as usize - 1;
-
-/// Why a run could not be.
+const LOOP_INTERVAL: Duration = Duration::from_millis(2);
+const PROCESS_CHECK_INTERVAL: Micros = Micros::from_millis(4);
+/// How many other address ranges are tried when an address is in use.
+const ADDRESS_RETRIES: usize = 3;
+const SEED_MEMBERS: usize = 3;
+const PROXIES_PER_POLLER: usize = 8; // polled by one thread, one after another
+/// Index of an address that belongs to no proxy.
+const UNKNOWN_SENDER_INDEX: usize = MAX_COMPONENTS_PER_KIND;
+const IPS_PER_RUN: usize = 250; // each kind of component has `PORTS_PER_KIND` ports on each
+const PORTS_PER_KIND: u16 = 5;
+/// Components of one kind in a tier; the last address is the one that belongs to no proxy.
+pub const MAX_COMPONENTS_PER_KIND: usize = IPS_PER_RUN * PORTS_PER_KIND as usize - 1;
+
+/// Why a run failed; decides the exit status.
 #[derive(Debug)]
 pub enum Failure {
-    /// The machine or a program stood in the way: status 1.
+    /// An error of the machine or of a program: status 1.
     Environment(String),
-    /// What was asked for can't be: status 2.
+    /// The request can't be carried out as fault_count: status 2.
     InvalidInput(String),
     Interrupted,
 }
 
 #[derive(Clone)]
 pub struct Options {
-    /// `sparlug` itself, which hosts parts in processes of their own and is the proxy unless a tier says else.
+    /// The `sparlug` program: hosts components in processes of their own, and is the proxy unless a tier
+    /// names another.
     pub program: PathBuf,
-    /// Where records, configurations and logs go.
+    /// Directory for records, configurations and logs.
     pub dir: PathBuf,
     pub stop: Arc<AtomicBool>,
-    /// Where the first proxy of the first tier listens, instead of an address of the run's own.
+    /// Listen address of the first proxy of the first tier; by default an address of the run's own range.
     pub front: Option<SocketAddr>,
 }
 
-/// What a run leaves behind.
+/// The results of a completed run.
 #[derive(Clone, Debug)]
 pub struct CompletedRun {
     pub dir: PathBuf,
@@ -67,36 +68,38 @@
     pub duration: Micros,
 }
 
-struct World<'a> {
+struct ScenarioRun<'a> {
     scenario: &'a Scenario,
     seed: u64,
     options: &'a Options,
     recorder: Recorder,
-    base: (u8, u8, u16),
-    peers: BTreeMap<String, ComponentHandle>,
+    address_base: (u8, u8, u16),
+    components: BTreeMap<String, ComponentHandle>,
     proxies: Vec<Process>,
-    looked: At,
+    last_process_check: At,
     entries: BTreeMap<(usize, usize), BackendEntry>,
-    /// The lists as they were when the run began, by tier.
-    first: BTreeMap<usize, Vec<BackendEntry>>,
-    /// Where each proxy's agent is.
-    agents: BTreeMap<(usize, usize), SocketAddr>,
+    /// The list of backends at the start of the run, by tier.
+    initial_entries: BTreeMap<usize, Vec<BackendEntry>>,
+    /// The address of each proxy's agent.
+    agent_addresses: BTreeMap<(usize, usize), SocketAddr>,
     agent_moves: u16,
-    /// The load has begun.
-    began: bool,
+    load_started: bool,
     start: At,
 }
 
-impl World<'_> {
-    /// Each part has an address of its own, apart from those of other runs on this machine.
+impl ScenarioRun<'_> {
+    /// Each component has an address of its own, different from those of other runs on this machine.
     fn address(&self, tier: usize, letter: char, n: usize) -> SocketAddr {
         if let (Some(front), (0, 'p', 0)) = (self.options.front, (tier, letter, n)) {
             return front;
         }
-        let (a, b, port) = self.base;
+        let (a, b, port) = self.address_base;
         let kind = "spalcmwfg".find(letter).unwrap_or(0) as u16;
-        let ip = Ipv4Addr::new(127, a, b, (n % IPS + 1) as u8);
-        SocketAddr::new(IpAddr::V4(ip), port + tier as u16 * 50 + kind * PORTS + (n / IPS) as u16)
+        let ip = Ipv4Addr::new(127, a, b, (n % IPS_PER_RUN + 1) as u8);
+        SocketAddr::new(
+            IpAddr::V4(ip),
+            port + tier as u16 * 50 + kind * PORTS_PER_KIND + (n / IPS_PER_RUN) as u16,
+        )
     }
 
     fn name(&self, tier: usize, letter: char, n: usize) -> String {
@@ -106,15 +109,15 @@
         format!("{}/{letter}-{n}", self.scenario.tiers[tier].name)
     }
 
-    /// Where callers find a proxy of the first tier.
+    /// The address at which clients reach a proxy of the first tier.
     fn front(&self, n: usize) -> SocketAddr {
         self.address(0, if self.scenario.client_behavior.link.is_some() { 'c' } else { 'p' }, n)
     }
 
     fn backend_spec(&self, tier: usize, n: usize, warm: bool) -> backend::Spec {
         let t = &self.scenario.tiers[tier];
-        let below = self.scenario.tiers.get(tier + 1).filter(|_| t.calls[1] > 0);
-        let below = below.map(|b| {
+        let next_tier = self.scenario.tiers.get(tier + 1).filter(|_| t.calls[1] > 0);
+        let next_tier = next_tier.map(|b| {
             let p = n % b.proxies;
             (self.name(tier + 1, 'p', p), self.address(tier + 1, 'p', p))
         });
@@ -123,38 +126,41 @@
             tier: Tier { cores: t.core_count(n), ..t.clone() },
             classes: self.scenario.classes.clone(),
             address: self.address(tier, 's', n),
-            next_tier: below,
+            next_tier,
             seed: arrivals::hash_with_seed(self.seed, &t.name),
             warm,
         }
     }
 
-    fn add(&mut self, spec: Spec, apart: bool) -> Result<(), Failure> {
+    fn start_component(&mut self, spec: Spec, own_process: bool) -> Result<(), Failure> {
         let records = records_path(&self.options.dir);
-        let peer = match apart {
+        let component = match own_process {
             true => ComponentHandle::spawn_process(spec, &self.options.program, &records),
             false => ComponentHandle::spawn_thread(spec, &self.recorder),
         };
-        let peer = peer.map_err(Failure::InvalidInput)?;
-        self.peers.insert(peer.name.clone(), peer);
+        let component = component.map_err(Failure::InvalidInput)?;
+        self.components.insert(component.name.clone(), component);
         Ok(())
     }
 
-    fn tell(&mut self, name: &str, command: Command) {
-        if let Some(peer) = self.peers.get_mut(name) {
-            peer.send(command);
+    fn send(&mut self, name: &str, command: Command) {
+        if let Some(component) = self.components.get_mut(name) {
+            component.send(command);
         }
     }
 
-    fn build(&mut self) -> Result<(), Failure> {
+    fn start_deployment(&mut self) -> Result<(), Failure> {
         for (t, tier) in self.scenario.tiers.iter().enumerate() {
             for n in 0..tier.backends {
-                self.add(Spec::Backend(Box::new(self.backend_spec(t, n, true))), tier.apart)?;
+                self.start_component(Spec::Backend(Box::new(self.backend_spec(t, n, true))), tier.apart)?;
                 let mut address = self.address(t, 's', n);
                 if let Some(link) = tier.link {
                     let (name, listen) = (self.name(t, 'l', n), self.address(t, 'l', n));
                     let seed = arrivals::hash_with_seed(self.seed, &name);
-                    self.add(Spec::Relay(relay::Spec { name, listen, to: address, link, seed }), false)?;
+                    self.start_component(
+                        Spec::Relay(relay::Spec { name, listen, to: address, link, seed }),
+                        false,
+                    )?;
                     address = listen;
                 }
                 let (host, zone, pod) = (self.name(t, 's', n), zone(n % tier.zones), n / tier.pod);
@@ -165,13 +171,16 @@
             let entries: Vec<BackendEntry> =
                 (0..tier.backends).map(|n| self.entries[&(t, n)].clone()).collect();
             if tier.balance == Balance::Sparlug {
-                let side = |n| (self.name(t, 'p', n), self.address(t, 'a', n));
-                let listen = (0..tier.proxies).map(side).collect();
+                let agent = |n| (self.name(t, 'p', n), self.address(t, 'a', n));
+                let listen = (0..tier.proxies).map(agent).collect();
                 let name = format!("{}/a", tier.name);
                 let entries = entries.clone();
-                self.add(Spec::Agent(agent::Spec { name, listen, entries, lag: tier.lag }), false)?;
+                self.start_component(
+                    Spec::Agent(agent::Spec { name, listen, entries, lag: tier.lag }),
+                    false,
+                )?;
             }
-            self.first.insert(t, entries);
+            self.initial_entries.insert(t, entries);
             if let Some(fleet) = tier.fleet {
                 let endpoint = |n| peer_network::ProxyEndpoint {
                     proxy: self.name(t, 'p', n),
@@ -181,8 +190,8 @@
                 let (name, endpoints) =
                     (format!("{}/w", tier.name), (0..tier.proxies).map(endpoint).collect());
                 let (unknown_sender, seed) =
-                    (self.address(t, 'w', NOBODY), arrivals::hash_with_seed(self.seed, &name));
-                self.add(
+                    (self.address(t, 'w', UNKNOWN_SENDER_INDEX), arrivals::hash_with_seed(self.seed, &name));
+                self.start_component(
                     Spec::PeerNetwork(peer_network::Spec { name, endpoints, fleet, unknown_sender, seed }),
                     false,
                 )?;
@@ -194,68 +203,74 @@
                         let (name, listen) = (self.name(t, 'c', n), self.address(t, 'c', n));
                         let (to, seed) =
                             (self.address(t, 'p', n), arrivals::hash_with_seed(self.seed, &name));
-                        self.add(Spec::Relay(relay::Spec { name, listen, to, link, seed }), false)?;
+                        self.start_component(
+                            Spec::Relay(relay::Spec { name, listen, to, link, seed }),
+                            false,
+                        )?;
                     }
                 }
                 if self.scenario.has_processes(t) {
-                    let form = if self.is_native(t) { "toml" } else { "json" };
-                    let config = self.options.dir.join(format!("{}-p-{n}.{form}", tier.name));
+                    let extension = if self.uses_native_config(t) { "toml" } else { "json" };
+                    let config = self.options.dir.join(format!("{}-p-{n}.{extension}", tier.name));
                     let (name, address) = (self.name(t, 'p', n), self.address(t, 'p', n));
-                    self.agents.insert((t, n), self.address(t, 'a', n));
-                    // Guards against another program on that address, whose answers would pass for the proxy's.
-                    let free = std::net::TcpListener::bind(address);
-                    free.map_err(|e| {
+                    self.agent_addresses.insert((t, n), self.address(t, 'a', n));
+                    // Another program on that address would answer in the proxy's index.
+                    let listener = std::net::TcpListener::bind(address);
+                    listener.map_err(|e| {
                         Failure::InvalidInput(format!("{name} cannot listen on {address}: {e}"))
                     })?;
                     let mut process = Process::new(name, (t, n), address, config);
-                    process.wanted = !absent.contains(&n);
+                    process.deployed = !absent.contains(&n);
                     self.proxies.push(process);
                 } else if tier.balance != Balance::Direct {
-                    self.add(Spec::Balancer(self.stand_in(t, n, false, KnownBackends::Old)), false)?;
+                    self.start_component(
+                        Spec::Balancer(self.baseline_spec(t, n, false, KnownBackends::Old)),
+                        false,
+                    )?;
                 }
             }
         }
-        for place in 0..self.proxies.len() {
-            if self.proxies[place].wanted {
-                self.start_proxy(place, KnownBackends::Old)?;
+        for index in 0..self.proxies.len() {
+            if self.proxies[index].deployed {
+                self.start_proxy(index, KnownBackends::Old)?;
             }
         }
-        while self.proxies.iter().any(|proxy| matches!(proxy.life, Life::Starting(_))) {
-            self.look(true)?;
+        while self.proxies.iter().any(|proxy| matches!(proxy.state, ProcessState::Starting(_))) {
+            self.check_processes(true)?;
             if self.options.stop.load(Ordering::Relaxed) {
                 return Err(Failure::Interrupted);
             }
-            std::thread::sleep(TURN);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         Ok(())
     }
 
-    fn stand_in(&self, t: usize, n: usize, again: bool, known: KnownBackends) -> balancer::Spec {
+    fn baseline_spec(&self, t: usize, n: usize, restarted: bool, known: KnownBackends) -> balancer::Spec {
         let tier = &self.scenario.tiers[t];
         let name = self.name(t, 'p', n);
-        let at_first = tier.fall_window_capacity(tier.cores, Micros::ZERO);
-        // Well below what pushes it over, so that one alone never does.
-        let allowance = ((tier.fall_threshold(at_first) * 0.8) as usize, tier.fall_window);
+        let cold_capacity = tier.fall_window_capacity(tier.cores, Micros::ZERO);
+        // 0.8 of the threshold, so that one stand-in alone never makes a backend fall over.
+        let slow_start_limit = ((tier.fall_threshold(cold_capacity) * 0.8) as usize, tier.fall_window);
         balancer::Spec {
             listen: self.address(t, 'p', n),
             balance: tier.balance,
             max_attempts: tier.baseline_max_attempts,
             attempt_timeout: tier.baseline_attempt_timeout,
             seeded_defect: tier.seeded_defect,
-            slow_start_limit: allowance,
-            restarted: again,
-            entries: self.known(t, known),
+            slow_start_limit,
+            restarted,
+            entries: self.known_entries(t, known),
             classes: self.scenario.classes.clone(),
             seed: arrivals::hash_with_seed(self.seed, &name),
             name,
         }
     }
 
-    /// The list of backends that a file holds.
-    fn known(&self, tier: usize, known: KnownBackends) -> Vec<BackendEntry> {
+    /// The list of backends that a proxy's configuration file holds.
+    fn known_entries(&self, tier: usize, known: KnownBackends) -> Vec<BackendEntry> {
         match known {
             KnownBackends::None => Vec::new(),
-            KnownBackends::Old => self.first.get(&tier).cloned().unwrap_or_default(),
+            KnownBackends::Old => self.initial_entries.get(&tier).cloned().unwrap_or_default(),
             KnownBackends::Now => {
                 let all = (0..self.scenario.tiers[tier].backends).map(|n| self.entries[&(tier, n)].clone());
                 all.filter(|entry| entry.health != "Gone").collect()
@@ -263,44 +278,44 @@
         }
     }
 
-    /// Whether a tier's proxies are told by the project's own form.
-    fn is_native(&self, tier: usize) -> bool {
+    /// Whether a tier's proxies are configured in the native format.
+    fn uses_native_config(&self, tier: usize) -> bool {
         self.scenario.tiers[tier].fleet.is_some_and(|fleet| fleet.members.is_some())
     }
 
-    /// Asks the members of fleets whom they see, until it is dropped.
-    fn watch(&self) -> Vec<FleetPoller> {
+    /// Starts polling the views of the members of fleets; polling ends when the pollers are dropped.
+    fn start_fleet_pollers(&self) -> Vec<FleetPoller> {
         let tiers = self.scenario.tiers.iter().enumerate();
         let fleets =
             tiers.filter_map(|(t, tier)| Some((t, tier, tier.fleet.filter(|f| f.members == Some(true))?)));
         let all = fleets.flat_map(|(t, tier, fleet)| {
-            let one = |n| (self.name(t, 'p', n), self.address(t, 'g', n));
-            let proxies: Vec<_> = (0..tier.proxies).map(one).collect();
-            let some = |proxies: &[(String, SocketAddr)]| {
+            let management_address = |n| (self.name(t, 'p', n), self.address(t, 'g', n));
+            let proxies: Vec<_> = (0..tier.proxies).map(management_address).collect();
+            let poller = |proxies: &[(String, SocketAddr)]| {
                 FleetPoller::new(proxies.to_vec(), fleet.watch, &self.recorder)
             };
-            proxies.chunks(WATCHED).map(some).collect::<Vec<_>>()
+            proxies.chunks(PROXIES_PER_POLLER).map(poller).collect::<Vec<_>>()
         });
         all.collect()
     }
 
     /// Writes the configuration of a proxy.
-    fn configure(&self, place: usize, known: KnownBackends) -> Result<(), Failure> {
-        let proxy = &self.proxies[place];
-        let (t, n) = (proxy.tier, proxy.n);
-        // What a file says of the tier is what was so when it was written.
-        let there = |other: &&Process| other.tier == t && other.wanted;
+    fn write_config(&self, index: usize, known: KnownBackends) -> Result<(), Failure> {
+        let proxy = &self.proxies[index];
+        let (t, n) = (proxy.tier, proxy.index);
+        // The file states the number of proxies at the time of writing.
+        let deployed = |other: &&Process| other.tier == t && other.deployed;
         let balancers =
-            self.proxies.iter().filter(there).map(|other| other.n + 1).max().unwrap_or(1).max(n + 1);
+            self.proxies.iter().filter(deployed).map(|other| other.index + 1).max().unwrap_or(1).max(n + 1);
         let peer = |other: usize| self.address(t, if other == n { 'f' } else { 'w' }, other);
         let fleet = self.scenario.tiers[t].fleet;
-        let talks = fleet.is_some_and(|fleet| fleet.talk) && !self.is_native(t);
+        let uses_peer_messages = fleet.is_some_and(|fleet| fleet.talk) && !self.uses_native_config(t);
         let members = fleet.filter(|fleet| fleet.members == Some(true));
-        let fleet_told = members.map(|fleet| FleetTold {
+        let fleet_settings = members.map(|fleet| FleetSettings {
             address: self.address(t, 'f', n),
             advertise: self.address(t, 'w', n),
-            // Some that all know, as staff write them down.
-            seeds: (0..SEEDS).map(|seed| self.address(t, 'w', seed)).collect(),
+            // The same first members for all proxies, as operators configure them.
+            seeds: (0..SEED_MEMBERS).map(|seed| self.address(t, 'w', seed)).collect(),
             expected: fleet.expected,
             duties: fleet.duties,
             lease: fleet.lease,
@@ -308,47 +323,47 @@
                 .map(|voter| self.address(t, 'w', voter))
                 .collect(),
         });
-        let peers = if talks { (0..balancers).map(peer).collect() } else { Vec::new() };
-        let told = Told {
+        let peers = if uses_peer_messages { (0..balancers).map(peer).collect() } else { Vec::new() };
+        let settings = ProxySettings {
             name: &proxy.name,
             listen: proxy.address,
-            agent: self.agents[&(t, n)],
+            agent: self.agent_addresses[&(t, n)],
             seed: arrivals::hash_with_seed(self.seed, &proxy.name),
-            known: (known != KnownBackends::None).then(|| self.known(t, known)),
+            known: (known != KnownBackends::None).then(|| self.known_entries(t, known)),
             balancers,
             peers,
             management: self.address(t, 'g', n),
-            fleet: fleet_told,
+            fleet: fleet_settings,
         };
-        let text = match self.is_native(t) {
-            true => configuration::native(self.scenario, t, n, &told),
-            false => configuration::platform(self.scenario, t, n, &told),
+        let text = match self.uses_native_config(t) {
+            true => configuration::native(self.scenario, t, n, &settings),
+            false => configuration::platform(self.scenario, t, n, &settings),
         };
         let could_not = |e| Failure::Environment(format!("cannot write {}: {e}", proxy.config.display()));
         fs::write(&proxy.config, text).map_err(could_not)
     }
 
-    fn start_proxy(&mut self, place: usize, known: KnownBackends) -> Result<(), Failure> {
-        let again = self.proxies[place].config.exists() || self.began;
-        let (t, n) = (self.proxies[place].tier, self.proxies[place].n);
+    fn start_proxy(&mut self, index: usize, known: KnownBackends) -> Result<(), Failure> {
+        let restarted = self.proxies[index].config.exists() || self.load_started;
+        let (t, n) = (self.proxies[index].tier, self.proxies[index].index);
         let tier = &self.scenario.tiers[t];
         if tier.balance != Balance::Sparlug {
-            let spec = Spec::Balancer(self.stand_in(t, n, again, known));
+            let spec = Spec::Balancer(self.baseline_spec(t, n, restarted, known));
             let peer =
                 ComponentHandle::spawn_process(spec, &self.options.program, &records_path(&self.options.dir));
-            let parts = peer.map_err(Failure::InvalidInput)?.into_process();
+            let process = peer.map_err(Failure::InvalidInput)?.into_process();
             let (child, input) =
-                parts.ok_or_else(|| Failure::Environment("a stand-in has no input".to_string()))?;
-            let proxy = &mut self.proxies[place];
-            proxy.started(child, Some(input));
+                process.ok_or_else(|| Failure::Environment("a stand-in has no input".to_string()))?;
+            let proxy = &mut self.proxies[index];
+            proxy.set_started(child, Some(input));
             for entry in (0..tier.backends).map(|n| self.entries[&(t, n)].clone()) {
                 let set = balancer::Command::Set { entry, first: true };
-                proxy.tell(&Command::Balancer(set));
+                proxy.send_command(&Command::Balancer(set));
             }
             return Ok(());
         }
-        self.configure(place, known)?;
-        let proxy = &self.proxies[place];
+        self.write_config(index, known)?;
+        let proxy = &self.proxies[index];
         let log = OpenOptions::new().create(true).append(true).open(proxy.config.with_extension("log"));
         let log =
             log.map_err(|e| Failure::Environment(format!("cannot write the log of {}: {e}", proxy.name)))?;
@@ -373,34 +388,34 @@
         command.stdout(Stdio::null()).stderr(log);
         let child = command.spawn();
         let child = child.map_err(|e| Failure::InvalidInput(format!("cannot start {}: {e}", proxy.name)))?;
-        self.proxies[place].started(child, None);
+        self.proxies[index].set_started(child, None);
         Ok(())
     }
 
-    /// Sees what became of the proxies' processes.
-    fn look(&mut self, building: bool) -> Result<(), Failure> {
+    /// Checks the proxies' processes and handles what changed.
+    fn check_processes(&mut self, building: bool) -> Result<(), Failure> {
         let now = At::now();
-        for place in 0..self.proxies.len() {
-            let became = self.proxies[place].look(now);
-            let proxy = self.proxies[place].name.clone();
-            match became {
-                Became::Nothing => {}
-                Became::Up => {
+        for index in 0..self.proxies.len() {
+            let change = self.proxies[index].poll(now);
+            let proxy = self.proxies[index].name.clone();
+            match change {
+                StateChange::Unchanged => {}
+                StateChange::Ready => {
                     self.recorder.write(At::now(), RecordKind::ProxyUp { proxy: proxy.clone() });
-                    if self.began && self.proxies[place].tier == 0 {
-                        self.target(&proxy, true);
+                    if self.load_started && self.proxies[index].tier == 0 {
+                        self.set_client_target(&proxy, true);
                     }
                 }
-                Became::Gone => self.start_if_wanted(place)?,
-                Became::Crashed(how) if building => {
+                StateChange::Stopped => self.start_if_wanted(index)?,
+                StateChange::Crashed(how) if building => {
                     return Err(Failure::InvalidInput(format!("{proxy} ended at its start ({how})")));
                 }
-                Became::Crashed(how) => {
+                StateChange::Crashed(how) => {
                     self.recorder
                         .write(At::now(), RecordKind::ProxyDown { proxy, how: format!("crash: {how}") });
                 }
-                Became::Late => {
-                    let after = crate::process::READY;
+                StateChange::StartTimedOut => {
+                    let after = crate::process::START_TIMEOUT;
                     return Err(Failure::Environment(format!("{proxy} is not ready after {after}")));
                 }
             }
@@ -408,28 +423,28 @@
         Ok(())
     }
 
-    /// Starts what is down and is to be there, unless a fault keeps it down.
-    fn start_if_wanted(&mut self, place: usize) -> Result<(), Failure> {
-        let proxy = &self.proxies[place];
-        let idle = matches!(proxy.life, Life::Down | Life::Absent);
-        if !(idle && proxy.wanted && proxy.downs.is_empty()) {
+    /// Starts a stopped proxy that is part of the deployment, unless a fault keeps it stopped.
+    fn start_if_wanted(&mut self, index: usize) -> Result<(), Failure> {
+        let proxy = &self.proxies[index];
+        let idle = matches!(proxy.state, ProcessState::Stopped | ProcessState::NotDeployed);
+        if !(idle && proxy.deployed && proxy.stop_faults.is_empty()) {
             return Ok(());
         }
-        self.start_proxy(place, proxy.known)
+        self.start_proxy(index, proxy.known_backends)
     }
 
-    /// Tells callers that a proxy belongs to those that they are spread over, or no longer.
-    fn target(&mut self, name: &str, up: bool) {
+    /// Tells the clients to send requests to a proxy, or to stop doing so.
+    fn set_client_target(&mut self, name: &str, up: bool) {
         let target = clients::Command::Target { name: name.to_string(), up, address: None };
-        self.tell("callers", Command::Clients(target));
+        self.send("callers", Command::Clients(target));
     }
 
-    fn place(&self, name: &str) -> Option<usize> {
+    fn proxy_index(&self, name: &str) -> Option<usize> {
         self.proxies.iter().position(|proxy| proxy.name == name)
     }
 
-    /// Hands the agents' word on, to whom this tier's balance listens.
-    fn word(&mut self, tier: usize, n: usize, health: &str) {
+    /// Publishes a backend's health to whatever balances this tier: agent, clients or stand-ins.
+    fn set_backend_health(&mut self, tier: usize, n: usize, health: &str) {
         let scenario = self.scenario;
         let t = &scenario.tiers[tier];
         let Some(entry) = self.entries.get_mut(&(tier, n)) else { return };
@@ -437,39 +452,39 @@
         let entry = entry.clone();
         match t.balance {
             Balance::Sparlug => {
-                self.tell(&format!("{}/a", t.name), Command::Agent(agent::Command::Set(entry)));
+                self.send(&format!("{}/a", t.name), Command::Agent(agent::Command::Set(entry)));
             }
             Balance::Direct => {
                 let (name, up, address) = (entry.host, health == "Ready", Some(entry.address));
-                self.tell("callers", Command::Clients(clients::Command::Target { name, up, address }));
+                self.send("callers", Command::Clients(clients::Command::Target { name, up, address }));
             }
             _ => {
                 for p in 0..t.proxies {
                     let set = balancer::Command::Set { entry: entry.clone(), first: false };
                     let (name, set) = (self.name(tier, 'p', p), Command::Balancer(set));
-                    match self.place(&name) {
-                        Some(place) => self.proxies[place].tell(&set),
-                        None => self.tell(&name, set),
+                    match self.proxy_index(&name) {
+                        Some(index) => self.proxies[index].send_command(&set),
+                        None => self.send(&name, set),
                     }
                 }
             }
         }
     }
 
-    fn step(&mut self, step: FaultStep) -> Result<(), Failure> {
+    fn apply_step(&mut self, step: FaultStep) -> Result<(), Failure> {
         match step {
             FaultStep::RecordFault { text, on, kind, part } => {
                 self.recorder
                     .write(At::now(), RecordKind::Fault { text, on, fault: Some(kind), befalls: part });
             }
-            FaultStep::SendCommand(name, command) => self.tell(&name, command),
-            FaultStep::SetHealth { tier, n, health } => self.word(tier, n, health),
+            FaultStep::SendCommand(name, command) => self.send(&name, command),
+            FaultStep::SetHealth { tier, n, health } => self.set_backend_health(tier, n, health),
             FaultStep::KillBackend(name) => {
-                let killed = self.peers.get_mut(&name).is_some_and(ComponentHandle::kill);
+                let killed = self.components.get_mut(&name).is_some_and(ComponentHandle::kill);
                 if killed {
                     self.recorder.named(&name).write(At::now(), RecordKind::Stopped { how: "killed".into() });
                 } else {
-                    self.tell(&name, Command::Backend(backend::Command::Crash));
+                    self.send(&name, Command::Backend(backend::Command::Crash));
                 }
             }
             FaultStep::StartBackend { name, moved } => self.start_backend(&name, moved)?,
@@ -478,52 +493,52 @@
                 let mut to = self.address(tier, 'a', n);
                 to.set_port(to.port() + 400 + self.agent_moves);
                 let agent = format!("{}/a", self.scenario.tiers[tier].name);
-                self.tell(&agent, Command::Agent(agent::Command::Move { proxy: n, to }));
-                self.agents.insert((tier, n), to);
+                self.send(&agent, Command::Agent(agent::Command::Move { proxy: n, to }));
+                self.agent_addresses.insert((tier, n), to);
                 let name = self.name(tier, 'p', n);
-                if let Some(place) = self.place(&name) {
-                    self.configure(place, KnownBackends::Now)?;
-                    self.proxies[place].signal(Signal::HUP);
+                if let Some(index) = self.proxy_index(&name) {
+                    self.write_config(index, KnownBackends::Now)?;
+                    self.proxies[index].signal(Signal::HUP);
                 }
             }
             FaultStep::StopProxy { proxy, kind, fault_id } => {
-                let Some(place) = self.place(&proxy) else { return Ok(()) };
-                let process = &mut self.proxies[place];
-                process.downs.insert(fault_id);
+                let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
+                let process = &mut self.proxies[index];
+                process.stop_faults.insert(fault_id);
                 if process.is_running() {
                     let how = if kind == FaultKind::Kill { "kill" } else { "term" };
                     self.recorder.write(At::now(), RecordKind::ProxyDown { proxy, how: how.into() });
-                    process.end(kind == FaultKind::Kill);
+                    process.stop(kind == FaultKind::Kill);
                 }
             }
             FaultStep::RestartProxy { proxy, fault_id, known } => {
-                let Some(place) = self.place(&proxy) else { return Ok(()) };
-                self.proxies[place].downs.remove(&fault_id);
-                self.proxies[place].known = known;
-                self.start_if_wanted(place)?;
+                let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
+                self.proxies[index].stop_faults.remove(&fault_id);
+                self.proxies[index].known_backends = known;
+                self.start_if_wanted(index)?;
             }
             FaultStep::PauseProxy { proxy, share, fault_id } => {
-                let Some(place) = self.place(&proxy) else { return Ok(()) };
-                let what = self.proxies[place].halt(fault_id, share);
+                let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
+                let what = self.proxies[index].pause(fault_id, share);
                 what.into_iter().for_each(|what| self.recorder.write(At::now(), what));
             }
             FaultStep::ResumeProxy { proxy, fault_id } => {
-                let Some(place) = self.place(&proxy) else { return Ok(()) };
-                let what = self.proxies[place].go_on(fault_id);
+                let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
+                let what = self.proxies[index].resume(fault_id);
                 what.into_iter().for_each(|what| self.recorder.write(At::now(), what));
             }
             FaultStep::AddProxy { proxy } => {
-                let Some(place) = self.place(&proxy) else { return Ok(()) };
-                self.proxies[place].wanted = true;
-                self.start_if_wanted(place)?;
+                let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
+                self.proxies[index].deployed = true;
+                self.start_if_wanted(index)?;
             }
             FaultStep::RemoveProxy { proxy } => {
-                let Some(place) = self.place(&proxy) else { return Ok(()) };
-                self.proxies[place].wanted = false;
-                self.target(&proxy, false);
-                if self.proxies[place].is_running() {
+                let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
+                self.proxies[index].deployed = false;
+                self.set_client_target(&proxy, false);
+                if self.proxies[index].is_running() {
                     self.recorder.write(At::now(), RecordKind::ProxyDown { proxy, how: "shrink".into() });
-                    self.proxies[place].end(false);
+                    self.proxies[index].stop(false);
                 }
             }
         }
@@ -532,8 +547,8 @@
 
     fn start_backend(&mut self, name: &str, moved: bool) -> Result<(), Failure> {
         let scenario = self.scenario;
-        let found = scenario.components(name);
-        let Some((tier, _, n)) = found.first().copied() else { return Ok(()) };
+        let components = scenario.components(name);
+        let Some((tier, _, n)) = components.first().copied() else { return Ok(()) };
         let address = moved.then(|| self.address(tier, 'm', n));
         if let Some(entry) = self.entries.get_mut(&(tier, n)) {
             entry.started_ms = agent::unix_ms(At::now());
@@ -542,15 +557,15 @@
             }
         }
         if let (Some(to), true) = (address, scenario.tiers[tier].link.is_some()) {
-            self.tell(&self.name(tier, 'l', n), Command::Relay(relay::Command::SetTarget(to)));
+            self.send(&self.name(tier, 'l', n), Command::Relay(relay::Command::SetTarget(to)));
         }
         if scenario.tiers[tier].apart {
             let mut spec = self.backend_spec(tier, n, false);
             spec.address = address.unwrap_or(spec.address);
-            self.peers.remove(name);
-            return self.add(Spec::Backend(Box::new(spec)), true);
+            self.components.remove(name);
+            return self.start_component(Spec::Backend(Box::new(spec)), true);
         }
-        self.tell(name, Command::Backend(backend::Command::Start { address, warm: false }));
+        self.send(name, Command::Backend(backend::Command::Start { address, warm: false }));
         Ok(())
     }
 
@@ -568,9 +583,9 @@
             _ => (0..front.proxies).map(|n| (self.name(0, 'p', n), self.front(n))).collect(),
         };
         let absent = scenario.initially_absent(0).into_iter().map(|n| self.name(0, 'p', n)).collect();
-        // Before the start is set: it may take a while.
+        // Drawn before the start time is set, since drawing may take a while.
         let intents = arrivals::intents(scenario, self.seed);
-        // Idle connections are opened first, at a pace that the backlog can take.
+        // Idle connections are opened first, at a pace that the listen backlog can take.
         let opening = Micros(scenario.client_behavior.idle as i64 * clients::IDLE_CONNECT_INTERVAL.0 * 4 / 3);
         self.start = At::now() + Micros::from_millis(150) + opening;
         let spec = clients::Spec {
@@ -586,40 +601,40 @@
             duration: scenario.duration,
             seed: self.seed,
         };
-        self.add(Spec::Clients(spec), false)?;
-        self.proxies.iter_mut().for_each(Process::memory_from_here);
-        let _watches = self.watch();
+        self.start_component(Spec::Clients(spec), false)?;
+        self.proxies.iter_mut().for_each(Process::reset_memory);
+        let _watches = self.start_fleet_pollers();
         let mut steps: VecDeque<_> = fault_steps::steps(scenario, &scenario.faults, 0).into();
-        let mut given = scenario.faults.len();
+        let mut fault_count = scenario.faults.len();
         let last = self.start + scenario.duration + Micros::from_millis(8000);
         loop {
-            if !self.began && At::now() >= self.start {
-                self.began = true;
-                self.proxies.iter_mut().for_each(Process::count_from_here);
+            if !self.load_started && At::now() >= self.start {
+                self.load_started = true;
+                self.proxies.iter_mut().for_each(Process::reset_usage);
             }
             if self.options.stop.load(Ordering::Relaxed) {
                 return Err(Failure::Interrupted);
             }
             for mut fault in injected.iter().flat_map(|injected| injected.try_iter()) {
                 fault.at = At::now().since(self.start);
-                steps.extend(fault_steps::steps(scenario, &[fault], given));
+                steps.extend(fault_steps::steps(scenario, &[fault], fault_count));
                 steps.make_contiguous().sort_by_key(|(at, _)| *at);
-                given += 1;
+                fault_count += 1;
             }
             while let Some((_, step)) = steps.pop_front_if(|(at, _)| self.start + *at <= At::now()) {
-                self.step(step)?;
+                self.apply_step(step)?;
             }
-            if At::now().since(self.looked) >= LOOK_EVERY {
-                self.looked = At::now();
-                self.look(false)?;
+            if At::now().since(self.last_process_check) >= PROCESS_CHECK_INTERVAL {
+                self.last_process_check = At::now();
+                self.check_processes(false)?;
             }
             progress(At::now().since(self.start).secs() / scenario.duration.secs());
-            let mut over = At::now() > last;
-            for (name, peer) in &mut self.peers {
+            let mut finished = At::now() > last;
+            for (name, peer) in &mut self.components {
                 if peer.has_exited() {
                     match name.as_str() {
-                        "callers" => over = true,
-                        // A backend's own process that was killed by the plan.
+                        "callers" => finished = true,
+                        // A fault killed the process of a backend that has its own.
                         _ if scenario.tiers.iter().any(|tier| tier.apart) => {}
                         _ => {
                             return Err(Failure::Environment(format!("{name} ended before the run was over")))
@@ -627,10 +642,10 @@
                     }
                 }
             }
-            if over {
+            if finished {
                 break;
             }
-            std::thread::sleep(TURN);
+            std::thread::sleep(LOOP_INTERVAL);
         }
         for what in self.proxies.iter().filter_map(Process::usage) {
             self.recorder.write(At::now(), what);
@@ -638,24 +653,24 @@
         Ok(())
     }
 
-    fn take_down(&mut self) -> Result<(), Failure> {
+    fn stop_all(&mut self) -> Result<(), Failure> {
         for proxy in &self.proxies {
             proxy.signal(Signal::CONT);
             proxy.signal(Signal::KILL);
         }
         self.proxies.clear();
-        let mut ended = Ok(());
-        // ClientBehavior first, and all of them also after one has panicked.
-        let mut peers = std::mem::take(&mut self.peers);
-        let callers = peers.remove("callers");
-        for peer in callers.into_iter().chain(peers.into_values()) {
-            ended = ended.and(peer.stop().map_err(Failure::Environment));
+        let mut result = Ok(());
+        // Clients first; all components are stopped even if one has panicked.
+        let mut components = std::mem::take(&mut self.components);
+        let clients = components.remove("callers");
+        for peer in clients.into_iter().chain(components.into_values()) {
+            result = result.and(peer.stop().map_err(Failure::Environment));
         }
-        ended
+        result
     }
 }
 
-/// Plays a scenario once. Whatever happens, nothing of it is left running.
+/// Plays a scenario once. All its processes are stopped, also after an error.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -665,7 +680,7 @@
     run_with(scenario, seed, options, None, progress)
 }
 
-/// The same, with faults that come while it runs.
+/// As `run`, with faults that are injected during the run.
 pub fn run_with(
     scenario: &Scenario,
     seed: u64,
@@ -673,60 +688,60 @@
     injected: Option<&Receiver<Fault>>,
     progress: &mut dyn FnMut(f64),
 ) -> Result<CompletedRun, Failure> {
-    let mut tries = 0..OTHER_ADDRESSES;
+    let mut retries = 0..ADDRESS_RETRIES;
     loop {
-        let again = tries.next().is_some() && options.front.is_none();
-        match once(scenario, seed, options, injected, progress) {
-            // Another run, or another program, has one of its addresses: nothing has been played yet.
-            Err(Failure::InvalidInput(why)) if again && why.contains("Address already in use") => {}
+        let may_retry = retries.next().is_some() && options.front.is_none();
+        match run_once(scenario, seed, options, injected, progress) {
+            // Another run or program uses one of the addresses; no load has been played yet.
+            Err(Failure::InvalidInput(why)) if may_retry && why.contains("Address already in use") => {}
             done => return done,
         }
     }
 }
 
-fn once(
+fn run_once(
     scenario: &Scenario,
     seed: u64,
     options: &Options,
     injected: Option<&Receiver<Fault>>,
     progress: &mut dyn FnMut(f64),
 ) -> Result<CompletedRun, Failure> {
-    let made = fs::create_dir_all(&options.dir).and_then(|()| File::create(records_path(&options.dir)));
-    made.map_err(|e| Failure::Environment(format!("cannot write to {}: {e}", options.dir.display())))?;
+    let created = fs::create_dir_all(&options.dir).and_then(|()| File::create(records_path(&options.dir)));
+    created.map_err(|e| Failure::Environment(format!("cannot write to {}: {e}", options.dir.display())))?;
     let recorder = Recorder::open(&records_path(&options.dir), "lab");
     let recorder = recorder.map_err(|e| Failure::Environment(e.to_string()))?;
-    let mut world = World {
+    let mut run = ScenarioRun {
         scenario,
         seed,
         options,
         recorder,
-        base: base(),
-        peers: BTreeMap::new(),
+        address_base: address_base(),
+        components: BTreeMap::new(),
         proxies: Vec::new(),
-        looked: At::default(),
+        last_process_check: At::default(),
         entries: BTreeMap::new(),
-        first: BTreeMap::new(),
-        agents: BTreeMap::new(),
+        initial_entries: BTreeMap::new(),
+        agent_addresses: BTreeMap::new(),
         agent_moves: 0,
-        began: false,
+        load_started: false,
         start: At::now(),
     };
-    let played = world.build().and_then(|()| world.play(injected, progress));
-    let down = world.take_down();
-    let (start, duration) = (world.start, scenario.duration);
-    played.and(down)?;
+    let result = run.start_deployment().and_then(|()| run.play(injected, progress));
+    let stopped = run.stop_all();
+    let (start, duration) = (run.start, scenario.duration);
+    result.and(stopped)?;
     Ok(CompletedRun { dir: options.dir.clone(), start, duration })
 }
 
-/// A part of loopback that no other run on this machine uses.
-fn base() -> (u8, u8, u16) {
-    static WORLDS: AtomicU32 = AtomicU32::new(0);
-    let world = WORLDS.fetch_add(1, Ordering::Relaxed);
+/// The loopback network and first port of a run; other runs on this machine use others.
+fn address_base() -> (u8, u8, u16) {
+    static RUNS: AtomicU32 = AtomicU32::new(0);
+    let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let pid = std::process::id();
-    (64 + (pid >> 8 & 63) as u8, (pid & 255) as u8, 5000 + (world % 25) as u16 * 1000)
+    (64 + (pid >> 8 & 63) as u8, (pid & 255) as u8, 5000 + (run % 25) as u16 * 1000)
 }
 
-/// Where a run's records, configurations and logs are, below the folder of all.
+/// Directory of a run's records, configurations and logs, below that of all runs.
 pub fn run_dir(out: &Path, variant: &str, seed: u64) -> PathBuf {
     out.join(format!("{}-{seed}", variant.replace(['/', ' '], "-")))
 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,5 +1,5 @@
-//! An experiment as its file words it: the deployment, the load, a timeline of faults, bounds on the results,
-//! and variants that are run beside each other.
+//! A scenario as its file describes it: the deployment, the load, a timeline of faults, bounds on the
+//! results, and variants that are compared with each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
     Balance, Burst, Class, ClientBehavior, Distribution, Effect, Fleet, Group, Link, Load, RateStep,
     SeededDefect, Tier,
 };
-use crate::fault::numbers;
+use crate::fault::parse_numbers;
 pub use crate::fault::{Direction, Fault, FaultKind, KnownBackends};
 pub use crate::fault_range::SearchSpace;
 pub use crate::figures::Bounds;
@@ -23,9 +23,9 @@
     pub about: String,
     #[serde(rename = "lasts")]
     pub duration: Micros,
-    /// How long the short form lasts, to which all times of faults and steps are drawn together.
+    /// Duration of the short form; all times of faults and steps are scaled down to it.
     pub short: Micros,
-    #[serde(default = "one_seed")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     #[serde(rename = "tier")]
     pub tiers: Vec<Tier>,
@@ -40,17 +40,17 @@
     pub bounds: Bounds,
     #[serde(default, rename = "variant")]
     pub variants: Vec<Variant>,
-    /// Fields with several values each; every variant is run with every choice of them.
+    /// Fields with several values each; every variant is run with every combination of them.
     #[serde(default)]
     pub matrix: BTreeMap<String, Vec<Value>>,
     #[serde(default, rename = "compare")]
     pub comparisons: Vec<Comparison>,
-    /// What a search draws.
+    /// The faults that a search draws from.
     #[serde(default)]
     pub hunt: SearchSpace,
 }
 
-fn one_seed() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
@@ -60,15 +60,15 @@
     pub name: String,
     #[serde(default)]
     pub set: Table,
-    /// Instead of the scenario's.
+    /// Replaces the scenario's bounds.
     pub bounds: Option<Bounds>,
-    /// Its rules are not judged: a baseline may break them.
+    /// Whether the rules are not judged: a baseline may break them.
     #[serde(default, rename = "lawless")]
     pub skip_rules: bool,
 }
 
 impl Variant {
-    /// The scenario as it stands.
+    /// The scenario without changes.
     pub fn unchanged() -> Variant {
         Variant { name: "sparlug".to_string(), set: Table::new(), bounds: None, skip_rules: false }
     }
@@ -86,7 +86,7 @@
 }
 
 impl Scenario {
-    /// The parts that a name or a pattern means: tier, letter, number.
+    /// The components that a name or a pattern selects: tier, letter of the kind, number.
     pub fn components(&self, pattern: &str) -> Vec<(usize, char, usize)> {
         if pattern == "callers" {
             return vec![(0, 'k', 0)];
@@ -95,12 +95,12 @@
         let Some((letter, number)) = rest.split_once('-') else { return Vec::new() };
         let mut letters = letter.chars();
         let (Some(letter), None) = (letters.next(), letters.next()) else { return Vec::new() };
-        let Some(place) = self.tiers.iter().position(|t| t.name == tier) else { return Vec::new() };
-        let numbers = numbers(number, self.count(place, letter));
-        numbers.into_iter().map(|n| (place, letter, n)).collect()
+        let Some(tier_index) = self.tiers.iter().position(|t| t.name == tier) else { return Vec::new() };
+        let numbers = parse_numbers(number, self.component_count(tier_index, letter));
+        numbers.into_iter().map(|n| (tier_index, letter, n)).collect()
     }
 
-    fn count(&self, tier: usize, letter: char) -> usize {
+    fn component_count(&self, tier: usize, letter: char) -> usize {
         let t = &self.tiers[tier];
         let (direct, sparlug) = (t.balance == Balance::Direct, t.balance == Balance::Sparlug);
         match letter {
@@ -114,9 +114,10 @@
         }
     }
 
-    /// Whether a tier's proxies are processes that faults can befall: the program is one always, a stand-in where it must.
+    /// Whether a tier's proxies are processes of their own: the program always, a stand-in if a fault needs
+    /// it.
     pub fn has_processes(&self, tier: usize) -> bool {
-        let of_process = |fault: &Fault| {
+        let needs_process = |fault: &Fault| {
             let parts = self.components(&fault.part);
             fault.kind.needs_process()
                 && parts.first().is_some_and(|(t, letter, _)| (*t, *letter) == (tier, 'p'))
@@ -124,11 +125,11 @@
         match self.tiers[tier].balance {
             Balance::Sparlug => true,
             Balance::Direct => false,
-            _ => self.faults.iter().any(of_process),
+            _ => self.faults.iter().any(needs_process),
         }
     }
 
-    /// The proxies of a tier that are not there at the start, since a fault has them come later.
+    /// The proxies of a tier that are absent at the start, since a fault adds them later.
     pub fn initially_absent(&self, tier: usize) -> Vec<usize> {
         let mut first: BTreeMap<usize, (Micros, bool)> = BTreeMap::new();
         for fault in &self.faults {
@@ -150,7 +151,7 @@
         first.into_iter().filter(|(_, (_, grows))| *grows).map(|(n, _)| n).collect()
     }
 
-    /// The ways between proxies that a fault befalls, from one to another, and of which tier.
+    /// The tier of a fault between proxies and the directed paths that it affects.
     pub fn network_paths(&self, fault: &Fault) -> Result<(usize, Vec<(usize, usize)>), String> {
         let proxies = |pattern: &str, field: &str, letters: &str| -> Result<(usize, Vec<usize>), String> {
             let found = self.components(pattern);
@@ -159,7 +160,7 @@
                 let parts = self.component_ranges().join(", ");
                 return Err(format!("{field}: there is no proxy {pattern:?}; there are {parts}"));
             };
-            if self.count(tier, 'w') == 0 || letter == 'c' {
+            if self.component_count(tier, 'w') == 0 || letter == 'c' {
                 return Err(format!("{field}: tier {:?} has no fleet", self.tiers[tier].name));
             }
             Ok((tier, found.into_iter().map(|(_, _, n)| n).collect()))
@@ -168,13 +169,13 @@
             None => (true, true),
             Some(direction) => (direction == Direction::Forth, direction == Direction::Back),
         };
-        let (mut ways, mut tiers) = (BTreeSet::new(), BTreeSet::new());
+        let (mut paths, mut tiers) = (BTreeSet::new(), BTreeSet::new());
         let mut add = |from: usize, to: usize| {
-            ways.extend((forth && from != to).then_some((from, to)));
-            ways.extend((back && from != to).then_some((to, from)));
+            paths.extend((forth && from != to).then_some((from, to)));
+            paths.extend((back && from != to).then_some((to, from)));
         };
-        let given = [!fault.sides.is_empty(), !fault.pairs.is_empty(), !fault.part.is_empty()];
-        if given.iter().filter(|given| **given).count() != 1 {
+        let selectors = [!fault.sides.is_empty(), !fault.pairs.is_empty(), !fault.part.is_empty()];
+        if selectors.iter().filter(|is_set| **is_set).count() != 1 {
             return Err("wanted one of sides, pairs and part".to_string());
         }
         for pair in &fault.pairs {
@@ -221,21 +222,21 @@
             found.iter().for_each(|from| (0..count).for_each(|to| add(*from, to)));
         }
         match tiers.len() {
-            1 => Ok((tiers.pop_first().unwrap_or_default(), ways.into_iter().collect())),
+            1 => Ok((tiers.pop_first().unwrap_or_default(), paths.into_iter().collect())),
             _ => Err("wanted proxies of one tier".to_string()),
         }
     }
 
-    /// Why a fault can't be played.
+    /// Checks that a fault can be played; the error says why it can't.
     pub fn check_fault(&self, fault: &Fault) -> Result<(), String> {
-        let of_ways = !fault.sides.is_empty() || !fault.pairs.is_empty();
+        let on_paths = !fault.sides.is_empty() || !fault.pairs.is_empty();
         let kind = || serde_json::to_string(&fault.kind).unwrap_or_default();
         let found = self.components(&fault.part);
-        if found.is_empty() && !of_ways {
+        if found.is_empty() && !on_paths {
             let parts = self.component_ranges().join(", ");
             return Err(format!("there is no such part; there are {parts}"));
         }
-        let letter = if of_ways { 'w' } else { found[0].1 };
+        let letter = if on_paths { 'w' } else { found[0].1 };
         if !fault.kind.component_kinds().contains(letter) {
             return Err(format!(
                 "{} befalls parts of the kind {:?} only",
@@ -247,7 +248,7 @@
             self.network_paths(fault)?;
         }
         let (sides, bridge) = (fault.sides.len(), fault.kind == FaultKind::Bridge);
-        let unit = |share: Option<f64>| share.is_none_or(|share| (0.0..=1.0).contains(&share));
+        let is_share = |share: Option<f64>| share.is_none_or(|share| (0.0..=1.0).contains(&share));
         let why = match fault.kind {
             FaultKind::Herd if fault.duration.is_some() => {
                 "a herd has no length: it is gone and comes back at once"
@@ -261,7 +262,7 @@
                 "amount: wanted the part of its time that it has, 0.01 to 0.9"
             }
             _ if !bridge && fault.through.is_some() => "through: only a bridge has one",
-            _ if !unit(fault.chance) => "chance: wanted 0 to 1",
+            _ if !is_share(fault.chance) => "chance: wanted 0 to 1",
             _ if fault.times > 1 && fault.every == Micros::ZERO => "times: wanted every as well",
             _ => return Ok(()),
         };
@@ -270,10 +271,11 @@
 
     pub fn component_ranges(&self) -> Vec<String> {
         let kinds = |tier: usize| "spalcw".chars().map(move |letter| (tier, letter));
-        let all =
-            (0..self.tiers.len()).flat_map(kinds).filter(|(tier, letter)| self.count(*tier, *letter) > 0);
+        let all = (0..self.tiers.len())
+            .flat_map(kinds)
+            .filter(|(tier, letter)| self.component_count(*tier, *letter) > 0);
         let named = |(tier, l): (usize, char)| {
-            format!("{}/{l}-0..{}", self.tiers[tier].name, self.count(tier, l) - 1)
+            format!("{}/{l}-0..{}", self.tiers[tier].name, self.component_count(tier, l) - 1)
         };
         all.map(named).chain(["callers".to_string()]).collect()
     }
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -1,4 +1,5 @@
-//! A scenario's file: read, changed by the command line or a variant, and checked with the line of what is wrong.
+//! Reads a scenario file, applies changes from the command line or a variant, and reports errors with their
+//! line.
 
 use std::path::{Path, PathBuf};
 
@@ -10,7 +11,7 @@
 use crate::run::MAX_COMPONENTS_PER_KIND;
 use crate::scenario::{Balance, Effect, Fault, Scenario, Variant};
 
-/// A file with what is to be changed in it.
+/// A scenario file with the changes that were set.
 #[derive(Clone)]
 pub struct ScenarioFile {
     pub path: PathBuf,
@@ -30,13 +31,14 @@
             let line = e.span().map_or(1, |span| text[..span.start].matches('\n').count() + 1);
             format!("{}:{line}: {}", path.display(), e.message().replace('\n', " "))
         };
-        // Once as it stands: guards against an unknown field being told without its line.
+        // Parsed as text first: an unknown field in a parsed table would be reported without its line.
         toml::from_str::<Scenario>(&text).map_err(at)?;
         let table = toml::from_str(&text).map_err(at)?;
         Ok(ScenarioFile { path: path.to_path_buf(), text, table })
     }
 
-    /// The same deployment with other faults alone, for one seed, and nothing to be set beside it.
+    /// The same deployment with only these faults and this seed, without variants, comparisons, matrix and
+    /// search.
     pub fn with_faults(&self, faults: &[Fault], seed: u64, lasts: Micros) -> Result<ScenarioFile, String> {
         let mut source = self.clone();
         let list: Result<Vec<Value>, _> = faults.iter().map(Value::try_from).collect();
@@ -57,7 +59,7 @@
         &self.text
     }
 
-    /// Sets `a.b.0.c=value`; what is no TOML value is taken for text.
+    /// Sets `a.b.0.c=value`; a value that is not valid TOML is taken as a string.
     pub fn set(&mut self, assignment: &str) -> Result<(), String> {
         let (key, text) =
             assignment.split_once('=').ok_or_else(|| format!("--set {assignment}: wanted KEY=VALUE"))?;
@@ -68,7 +70,7 @@
         set(&mut self.table, key, value).map_err(|e| format!("--set {assignment}: {e}"))
     }
 
-    /// The scenario with a variant's changes.
+    /// The checked scenario with a variant's changes, scaled down if `short`.
     pub fn scenario(&self, variant: Option<&Variant>, short: bool) -> Result<Scenario, String> {
         let mut table = self.table.clone();
         let named = |e: String| match variant {
@@ -90,7 +92,7 @@
         Ok(scenario)
     }
 
-    /// The line of the n-th table of an array.
+    /// Line number of the n-th table of an array.
     fn line_of(&self, header: &str, n: usize) -> usize {
         let mut found = self.text.lines().enumerate().filter(|(_, line)| line.trim() == header);
         found.nth(n).map_or(1, |(number, _)| number + 1)
@@ -162,9 +164,10 @@
             let named = if fault.part.is_empty() { format!("{:?}", fault.kind) } else { fault.part.clone() };
             scenario.check_fault(fault).map_err(|why| format!("{path}:{at}: fault {named:?}: {why}"))?;
         }
-        let bounded = std::iter::once(&scenario.bounds);
-        let bounded = bounded.chain(scenario.variants.iter().filter_map(|variant| variant.bounds.as_ref()));
-        for name in bounded.flat_map(|bounds| bounds.most.keys().chain(bounds.least.keys())) {
+        let all_bounds = std::iter::once(&scenario.bounds);
+        let all_bounds =
+            all_bounds.chain(scenario.variants.iter().filter_map(|variant| variant.bounds.as_ref()));
+        for name in all_bounds.flat_map(|bounds| bounds.most.keys().chain(bounds.least.keys())) {
             let at = self.text.lines().position(|line| line.contains(name.as_str())).map_or(1, |at| at + 1);
             Figures::known(name).map_err(|why| format!("{path}:{at}: bounds: {why}"))?;
         }
--- a/crates/lab/tests/parts.rs
+++ b/crates/lab/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Plans, scenarios and their errors, spans, records and messages: all that needs no process.
+//! Tests of arrivals, scenarios and their errors, spans, records and messages, which start no process.
 
 use std::path::Path;
 
@@ -10,21 +10,21 @@
 use sparlug_lab::scenario_file::ScenarioFile;
 use sparlug_lab::{arrivals, http_message};
 
-fn calm() -> String {
+fn calm_scenario() -> String {
     std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/calm.toml")).unwrap()
 }
 
-fn source(text: String) -> Result<ScenarioFile, String> {
+fn parse(text: String) -> Result<ScenarioFile, String> {
     ScenarioFile::of(Path::new("x.toml"), text)
 }
 
-fn fault(text: String) -> String {
-    source(text).and_then(|source| source.scenario(None, false)).map(|_| ()).unwrap_err()
+fn scenario_error(text: String) -> String {
+    parse(text).and_then(|source| source.scenario(None, false)).map(|_| ()).unwrap_err()
 }
 
 #[test]
-fn the_same_seed_gives_the_same_arrivals_and_another_one_others() {
-    let mut source = source(calm()).unwrap();
+fn the_same_seed_gives_the_same_arrivals_and_another_seed_others() {
+    let mut source = parse(calm_scenario()).unwrap();
     source.set("callers.impatient=0.1").unwrap();
     source.set("load.burst={every=\"1s\", size=5}").unwrap();
     let scenario = source.scenario(None, false).unwrap();
@@ -38,7 +38,7 @@
 
 #[test]
 fn arrivals_follow_steps_and_ramps() {
-    let mut source = source(calm()).unwrap();
+    let mut source = parse(calm_scenario()).unwrap();
     source.set("load.rate=100").unwrap();
     source.set("load.step=[{at=\"2s\", rate=1000, ramp=true}, {at=\"6s\", rate=50}]").unwrap();
     let all = arrivals::intents(&source.scenario(None, false).unwrap(), 1);
@@ -46,15 +46,15 @@
         let within = |at: Micros| at >= Micros::from_millis(from) && at < Micros::from_millis(to);
         all.iter().filter(|intent| within(intent.at)).count()
     };
-    // A line from 100 to 1,000 a second over two seconds, then level, then 50.
+    // A linear ramp from 100 to 1,000 per second over two seconds, then constant, then 50.
     assert!((900..1300).contains(&between(0, 2000)), "{}", between(0, 2000));
     assert!((3700..4300).contains(&between(2000, 6000)));
     assert!((60..145).contains(&between(6000, 8000)));
 }
 
 #[test]
-fn service_times_have_the_mean_that_is_asked_for() {
-    let scenario = source(calm()).unwrap().scenario(None, false).unwrap();
+fn service_times_have_the_configured_mean() {
+    let scenario = parse(calm_scenario()).unwrap().scenario(None, false).unwrap();
     let mut tier = scenario.tiers[0].clone();
     for distribution in ["fixed", "exponential", "lognormal"] {
         tier.distribution = serde_json::from_value(distribution.into()).unwrap();
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_scenario_that_cannot_be_used_is_told_in_one_line_with_its_place() {
-    let with = |more: &str| calm() + more;
+fn an_invalid_scenario_gives_one_line_with_its_position() {
+    let with = |more: &str| calm_scenario() + more;
     let cases = [
-        (calm().replace("cores = 2", "coers = 2"), "x.toml:10: unknown field `coers`"),
-        (calm().replace("\"20ms\"", "\"20 miles\""), "x.toml:11: \"20 miles\" is not a time span"),
-        (calm().replace("rate = 130", ""), "x.toml: [load]: wanted one of rate and closed"),
+        (calm_scenario().replace("cores = 2", "coers = 2"), "x.toml:10: unknown field `coers`"),
+        (calm_scenario().replace("\"20ms\"", "\"20 miles\""), "x.toml:11: \"20 miles\" is not a time span"),
+        (calm_scenario().replace("rate = 130", ""), "x.toml: [load]: wanted one of rate and closed"),
         (
-            calm().replace("backends = 4", "backends = 0"),
+            calm_scenario().replace("backends = 4", "backends = 0"),
             "x.toml:6: tier \"front\": backends: wanted 1 to 1249",
         ),
         (
@@ -90,21 +90,21 @@
             "x.toml:36: compare: there is no variant \"a\"",
         ),
         (
-            calm().replace("effect = \"at-most-once\"", "effect = \"numbered\""),
+            calm_scenario().replace("effect = \"at-most-once\"", "effect = \"numbered\""),
             "x.toml:20: class \"book-slot\": a numbered effect",
         ),
     ];
     for (text, wanted) in cases {
-        let found = fault(text);
+        let found = scenario_error(text);
         assert!(found.starts_with(wanted) && !found.contains('\n'), "{found:?} is not {wanted:?}");
     }
 }
 
 #[test]
 fn fields_can_be_set_and_variants_change_them() {
-    let text =
-        calm() + "[[variant]]\nname = \"wide\"\nset = { \"tier.0.backends\" = 9, \"load.rate\" = 7 }\n";
-    let mut source = source(text).unwrap();
+    let text = calm_scenario()
+        + "[[variant]]\nname = \"wide\"\nset = { \"tier.0.backends\" = 9, \"load.rate\" = 7 }\n";
+    let mut source = parse(text).unwrap();
     source.set("tier.0.balance=least").unwrap();
     source.set("callers.retries=4").unwrap();
     let base = source.scenario(None, false).unwrap();
@@ -118,23 +118,23 @@
 }
 
 #[test]
-fn a_matrix_gives_each_variant_each_choice() {
-    let text = calm() + "[matrix]\n\"tier.0.backends\" = [3, 5]\n\"load.rate\" = [10, 20]\n";
+fn a_matrix_gives_each_variant_every_combination() {
+    let text = calm_scenario() + "[matrix]\n\"tier.0.backends\" = [3, 5]\n\"load.rate\" = [10, 20]\n";
     let (seed, seeds, short, out) = (None, 1, true, None);
     let (program, stop) = ("none".into(), Default::default());
-    let plan = Experiment { source: source(text).unwrap(), seed, seeds, short, program, out, stop };
+    let plan = Experiment { source: parse(text).unwrap(), seed, seeds, short, program, out, stop };
     let found = plan.variants().unwrap();
-    let of = |s: &Scenario| (s.tiers[0].backends, s.load.rate);
-    let choices: Vec<_> = found.iter().map(|(_, scenario)| of(scenario)).collect();
+    let backends_and_rate = |s: &Scenario| (s.tiers[0].backends, s.load.rate);
+    let choices: Vec<_> = found.iter().map(|(_, scenario)| backends_and_rate(scenario)).collect();
     assert_eq!(choices, [(3, 10.0), (5, 10.0), (3, 20.0), (5, 20.0)]);
     assert_eq!(found[1].0.name, "sparlug load.rate=10 tier.0.backends=5");
 }
 
 #[test]
-fn the_short_form_draws_all_times_together() {
-    let text = calm()
+fn the_short_form_scales_all_times() {
+    let text = calm_scenario()
         + "[[fault]]\nat = \"4s\"\nfor = \"2s\"\npart = \"front/s-*\"\nkind = \"stall\"\nstep = \"800ms\"\n";
-    let short = source(text).unwrap().scenario(None, true).unwrap();
+    let short = parse(text).unwrap().scenario(None, true).unwrap();
     let fault = &short.faults[0];
     assert_eq!(short.duration, Micros::from_millis(3000));
     assert_eq!((fault.at, fault.duration), (Micros::from_millis(1500), Some(Micros::from_millis(750))));
@@ -142,15 +142,15 @@
 }
 
 #[test]
-fn records_come_back_as_they_were_and_a_torn_last_line_costs_only_itself() {
+fn records_are_read_as_written_and_a_truncated_last_line_is_skipped() {
     let path = std::env::temp_dir().join(format!("sparlug-records-{}.jsonl", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let recorder = Recorder::open(&path, "lab").unwrap();
     let what = RecordKind::ResponseReceived { id: "a".into(), status: 200, retry_after_ms: Some(1.5) };
     recorder.named("callers").write(At(20), what.clone());
     recorder.write(At(10), RecordKind::Note { text: "first".into() });
-    let whole = std::fs::read(&path).unwrap();
-    std::fs::write(&path, [&whole[..], b"{\"t\":30,\"part\":\"cal"].concat()).unwrap();
+    let complete = std::fs::read(&path).unwrap();
+    std::fs::write(&path, [&complete[..], b"{\"t\":30,\"part\":\"cal"].concat()).unwrap();
     let read = record::read(&path).unwrap();
     assert_eq!(read.len(), 2);
     assert_eq!(read[1], Record { t: At(20), component: "callers".into(), kind: what });
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn messages_are_read_the_same_however_they_are_cut() {
+fn incomplete_messages_wait_for_more_and_malformed_ones_fail() {
     let bytes =
         http_message::encode_request("POST", "/book-slot?x=1", "h", &[("Request-Id", "7".into())], b"body");
     for cut in 0..bytes.len() {
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn spans_are_read_and_written_as_people_write_them() {
+fn spans_are_parsed_and_formatted_with_units() {
     for (text, us) in
         [("250us", 250), ("1.5ms", 1500), ("40ms", 40_000), ("2s", 2_000_000), ("1min", 60_000_000)]
     {
@@ -190,8 +190,8 @@
 }
 
 #[test]
-fn figures_count_from_when_a_request_was_meant_and_bounds_say_what_they_miss() {
-    let scenario = source(calm()).unwrap().scenario(None, false).unwrap();
+fn latencies_count_from_the_due_time_and_bounds_report_misses() {
+    let scenario = parse(calm_scenario()).unwrap().scenario(None, false).unwrap();
     let over = |t, due, honoured| Record {
         t: At(t),
         component: "callers".into(),
@@ -203,7 +203,7 @@
             tries: 1,
         },
     };
-    // Sent late by a stalled caller or not: 900 ms is what it took.
+    // 900 ms from the due time, whether or not a stalled client sent it late.
     let records =
         [over(1_000_000, 100_000, true), over(1_010_000, 1_000_000, true), over(7_500_000, 7_000_000, false)];
     let figures = run_figures::figures(&records, &scenario, At(0));
