--- a/crates/proxy/src/buffered_stream.rs
+++ b/crates/proxy/src/buffered_stream.rs
@@ -220,7 +220,7 @@
 }
 
 impl BufferedStream {
-    pub fn dial(address: SocketAddr, registry: &Registry, token: Token) -> Result<BufferedStream> {
+    pub fn connect_to(address: SocketAddr, registry: &Registry, token: Token) -> Result<BufferedStream> {
         let mut stream = BufferedStream::unconnected();
         stream.connect(address)?;
         stream.register(registry, token)?;
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -135,8 +135,11 @@
         (self.requested_at, self.reused) = (io.now, self.stream.is_some());
         if self.stream.is_none() {
             self.connection_number = self.connection_number.wrapping_add(1);
-            match BufferedStream::dial(agent, &io.registry, Owner::Discovery(self.connection_number).token())
-            {
+            match BufferedStream::connect_to(
+                agent,
+                &io.registry,
+                Owner::Discovery(self.connection_number).token(),
+            ) {
                 Ok(stream) => self.stream = Some(stream),
                 Err(e) => return self.fail(&e.to_string(), io),
             }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -634,7 +634,7 @@
     }
 
     /// Upper bound of the time to connect, which is also the timeout of a check.
-    pub fn connect_timeout(&self) -> Span {
+    pub fn max_connect_time(&self) -> Span {
         self.max_connect_time
     }
 
--- a/crates/proxy/src/proxy/requests.rs
+++ b/crates/proxy/src/proxy/requests.rs
@@ -263,7 +263,7 @@
         self.io.counters.checks += 1;
         let host = self.pool.address(backend).map(|address| address.to_string()).unwrap_or_default();
         let message = format!("GET {} HTTP/1.1\r\nHost: {host}\r\n\r\n", self.check_path);
-        let until = self.io.now + self.pool.connect_timeout();
+        let until = self.io.now + self.pool.max_connect_time();
         let message = OutgoingRequest {
             bytes: message.as_bytes(),
             complete: true,
--- a/crates/proxy/tests/discovery_failures.rs
+++ b/crates/proxy/tests/discovery_failures.rs
@@ -61,8 +61,8 @@
     for (call, error) in failures {
         let listeners = [backend(), backend()];
         let (proxy, shim) = Shim::start(&[&listeners[0], &listeners[1]], &settings(500, ""));
-        let dial = listeners[0].local_addr().unwrap();
-        let host = format!(r#"{{"host":"h0","dial":"{dial}","site":"a","health":"Terminating"}}"#);
+        let address = listeners[0].local_addr().unwrap();
+        let host = format!(r#"{{"host":"h0","dial":"{address}","site":"a","health":"Terminating"}}"#);
         let port = proxy.discovery.local_addr().unwrap().port();
         let draining = run_agent(proxy.discovery.try_clone().unwrap(), host);
         let arrivals = listeners.map(serve);
--- a/crates/proxy/tests/helper/mod.rs
+++ b/crates/proxy/tests/helper/mod.rs
@@ -60,8 +60,8 @@
 ) -> (String, TcpListener) {
     let discovery = backend();
     let host = |(index, backend): (usize, &&TcpListener)| {
-        let dial = backend.local_addr().unwrap();
-        format!(r#"{{"host":"h{index}","dial":"{dial}","site":"a","health":"Ready","share":1.0}}"#)
+        let address = backend.local_addr().unwrap();
+        format!(r#"{{"host":"h{index}","dial":"{address}","site":"a","health":"Ready","share":1.0}}"#)
     };
     let hosts: Vec<_> = backends.iter().enumerate().map(host).collect();
     let text = format!(
--- a/crates/proxy/tests/mixed_topologies.rs
+++ b/crates/proxy/tests/mixed_topologies.rs
@@ -1,5 +1,5 @@
 //! Proxies of two topologies before the same backends, as during a migration: a few shared by all clients,
-//! and one beside each client (sidecars), which route each key to its preferred backends and share their
+//! and one beside each client (sidecars), which route each key to its home backends and share their
 //! observations.
 
 mod helper;
@@ -235,11 +235,11 @@
         counts.sort_unstable_by(|a, b| b.cmp(a));
         (counts.iter().take(2).sum::<usize>(), counts.iter().sum::<usize>())
     };
-    let (preferred, total) =
+    let (requests_to_home_backends, total) =
         backends_by_key.values().map(top_two).fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
     assert!(
-        backends_by_key.len() == KEY_COUNT as usize && preferred as f64 > 0.8 * total as f64,
-        "{preferred} of {total}: {backends_by_key:?}"
+        backends_by_key.len() == KEY_COUNT as usize && requests_to_home_backends as f64 > 0.8 * total as f64,
+        "{requests_to_home_backends} of {total}: {backends_by_key:?}"
     );
     let used: BTreeSet<_> =
         backends_by_key.values().flat_map(|request_counts| request_counts.keys()).collect();
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -207,8 +207,8 @@
     write(&mut client, &request("POST", "/write", "4"));
     let mut conn = accept(&old);
     read_message(&mut conn);
-    let dial = new.local_addr().unwrap();
-    let host = format!(r#"{{"host":"h0","dial":"{dial}","site":"a","health":"Ready"}}"#);
+    let address = new.local_addr().unwrap();
+    let host = format!(r#"{{"host":"h0","dial":"{address}","site":"a","health":"Ready"}}"#);
     write(&mut agent, &response("200 OK", "", &format!(r#"{{"seq":5,"whole":false,"hosts":[{host}]}}"#)));
     read_message(&mut agent);
     write(&mut conn, &response("200 OK", "", "fine"));
@@ -403,8 +403,8 @@
     let mut agent = accept(&proxy.discovery);
     assert!(read_message(&mut agent).starts_with("GET /v1/endpoints?index=4&wait="));
     let host = |listener: &TcpListener, name: &str, health: &str| {
-        let dial = listener.local_addr().unwrap();
-        format!(r#"{{"host":"{name}","dial":"{dial}","site":"a","health":"{health}","born_ms":0}}"#)
+        let address = listener.local_addr().unwrap();
+        format!(r#"{{"host":"{name}","dial":"{address}","site":"a","health":"{health}","born_ms":0}}"#)
     };
     let mut send_list = |seq: u32, full: bool, hosts: String| loop {
         let body = format!(r#"{{"seq":{seq},"whole":{full},"hosts":[{hosts}]}}"#);
@@ -469,8 +469,8 @@
         assert!(read_message(&mut agent).starts_with("GET /v1/endpoints HTTP/1.1\r\n"));
         // Until the new agent answers, the old list stays in use.
         served_by(if seq == 2 { &old } else { &new });
-        let dial = backend.local_addr().unwrap();
-        let host = format!(r#"{{"host":"s{seq}","dial":"{dial}","site":"a","health":"Ready"}}"#);
+        let address = backend.local_addr().unwrap();
+        let host = format!(r#"{{"host":"s{seq}","dial":"{address}","site":"a","health":"Ready"}}"#);
         let list = format!(r#"{{"seq":{seq},"whole":true,"hosts":[{host}]}}"#);
         write(&mut agent, &response("200 OK", "", &list));
         assert!(read_message(&mut agent).starts_with(&format!("GET /v1/endpoints?index={seq}&")));
@@ -528,13 +528,13 @@
 #[test]
 fn odd_lists_are_logged_and_fail_no_request() {
     let backend = backend();
-    let dial = backend.local_addr().unwrap();
+    let address = backend.local_addr().unwrap();
     let proxy = Proxy::start(&[&backend]);
     std::thread::spawn(move || loop {
         serve_once(&backend, Some(&response("200 OK", "Connection: close\r\n", "fine")));
     });
     let host = |name: &str, site: &str| {
-        format!(r#"{{"host":"{name}","dial":"{dial}","site":"{site}","health":"Ready"}}"#)
+        format!(r#"{{"host":"{name}","dial":"{address}","site":"{site}","health":"Ready"}}"#)
     };
     let many = |count: usize| (0..count).map(|n| host(&format!("h{n}"), "a")).collect::<Vec<_>>().join(",");
     let lists_with_log_lines = [
--- a/crates/proxy/tests/unit.rs
+++ b/crates/proxy/tests/unit.rs
@@ -125,9 +125,9 @@
 
 #[test]
 fn backend_id_depends_on_the_host_and_not_on_its_address() {
-    let list = |dial: &str, health: &str| {
+    let list = |address: &str, health: &str| {
         let host = format!(
-            r#"{{"host":"s-1","dial":"{dial}","site":"b","block":3,"health":"{health}","born_ms":5}}"#
+            r#"{{"host":"s-1","dial":"{address}","site":"b","block":3,"health":"{health}","born_ms":5}}"#
         );
         let text = format!(r#"{{"seq":9,"whole":false,"hosts":[{host}]}}"#);
         listing::decode(text.as_bytes(), &["a".to_string(), "b".to_string()])
@@ -146,7 +146,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let poll = mio::Poll::new().unwrap();
     let mut stream =
-        BufferedStream::dial(listener.local_addr().unwrap(), poll.registry(), mio::Token(0)).unwrap();
+        BufferedStream::connect_to(listener.local_addr().unwrap(), poll.registry(), mio::Token(0)).unwrap();
     let (mut peer, _) = listener.accept().unwrap();
     while !stream.is_established().unwrap() {}
     let sent: Vec<u8> = (0..32_000_000_u32).map(|index| (index % 251) as u8).collect();
--- a/src/backend_sampler.rs
+++ b/src/backend_sampler.rs
@@ -70,7 +70,7 @@
     }
 
     /// The first `max_count` home backends of a key that are eligible.
-    pub fn homes(
+    pub fn home_backends(
         &self,
         key: u64,
         max_count: usize,
@@ -82,29 +82,29 @@
         scored.into_iter().map(|(_, id)| id).filter(|id| is_eligible(*id)).take(max_count).collect()
     }
 
-    /// Two eligible homes of a key: a random one of the first `home_count`, whose fraction is rounded up or
-    /// down by chance, and another of these or the next one after them. Also returns whether the second lies
-    /// beyond them. Neither is `last` if there are others.
-    pub fn sample_homes(
+    /// Two eligible home backends of a key: a random one of the first `home_backend_count`, whose fraction is
+    /// rounded up or down by chance, and another of these or the next one after them. Also returns whether
+    /// the second lies beyond them. Neither is `last` if there are others.
+    pub fn sample_home_backends(
         &self,
         rng: &mut Rand32,
         key: u64,
-        home_count: f64,
+        home_backend_count: f64,
         last: Option<BackendId>,
         is_eligible: impl Fn(BackendId) -> bool,
     ) -> Option<(BackendId, BackendId, bool)> {
-        let wanted = ((home_count + f64::from(rng.rand_float())) as usize).max(1);
-        let mut homes = self.homes(key, wanted + 2, is_eligible);
-        if homes.len() > 1 {
-            homes.retain(|id| Some(*id) != last);
+        let wanted = ((home_backend_count + f64::from(rng.rand_float())) as usize).max(1);
+        let mut home_backends = self.home_backends(key, wanted + 2, is_eligible);
+        if home_backends.len() > 1 {
+            home_backends.retain(|id| Some(*id) != last);
         }
-        let available = wanted.min(homes.len());
+        let available = wanted.min(home_backends.len());
         if available == 0 {
             return None;
         }
-        let first = homes.remove(rng.rand_range(0..available as u32) as usize);
-        let index = rng.rand_range(0..available.min(homes.len()).max(1) as u32) as usize;
-        Some((first, homes.get(index).copied().unwrap_or(first), index + 1 >= available))
+        let first = home_backends.remove(rng.rand_range(0..available as u32) as usize);
+        let index = rng.rand_range(0..available.min(home_backends.len()).max(1) as u32) as usize;
+        Some((first, home_backends.get(index).copied().unwrap_or(first), index + 1 >= available))
     }
 
     /// A random eligible backend of all or of the own zone, larger ones with more chance, and from the
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -93,7 +93,7 @@
 /// With many instances for each backend, a report keeps its weight for this many more response times.
 const MAX_EXTRA_FADE_RESPONSES: f64 = 5.0;
 /// The number of home backends of a key for each backend's even part of the traffic that the key makes up.
-const HOMES_PER_EVEN_SHARE: f64 = 2.5;
+const HOME_BACKENDS_PER_EVEN_SHARE: f64 = 2.5;
 /// Sending a request to a backend that doesn't know its key counts as this many attempts in flight.
 const KEY_MOVE_PENALTY_ATTEMPTS: f64 = 0.4;
 /// Where there are many instances, this many share a backend.
@@ -842,12 +842,12 @@
         // Only the few repeats that must stay in a group search the whole list.
         let exhaustive = pending.first_run.is_some() && pending.class.effect != Effect::Safe;
         let (first, second, is_moved) = if let Some(key) = pending.key {
-            let home_count =
-                HOMES_PER_EVEN_SHARE * self.tier.ready_and_ejected.0 * self.queue.keys.share(key);
-            self.sampler.sample_homes(
+            let home_backend_count =
+                HOME_BACKENDS_PER_EVEN_SHARE * self.tier.ready_and_ejected.0 * self.queue.keys.share(key);
+            self.sampler.sample_home_backends(
                 &mut rng,
                 key,
-                home_count,
+                home_backend_count,
                 pending.last_backend,
                 self.is_eligible(id, None),
             )?
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -657,14 +657,14 @@
 /// connected to.
 #[test]
 fn a_removed_backend_moves_only_its_own_keys() {
-    let homes = |without: Option<u8>, key| {
+    let home_backends = |without: Option<u8>, key| {
         let all = (0..12).filter(|n| Some(*n) != without).map(listing);
-        BackendSampler::new(all, ZoneId(0), 3.0, 0).homes(key, 2, |_| true)
+        BackendSampler::new(all, ZoneId(0), 3.0, 0).home_backends(key, 2, |_| true)
     };
     for key in 1..200 {
-        let (before, after) = (homes(None, key), homes(Some(7), key));
-        let kept: Vec<_> = before.iter().filter(|home| **home != id(7)).collect();
-        assert!(kept.iter().all(|home| after.contains(home)), "{key}: {before:?} {after:?}");
+        let (before, after) = (home_backends(None, key), home_backends(Some(7), key));
+        let kept: Vec<_> = before.iter().filter(|backend| **backend != id(7)).collect();
+        assert!(kept.iter().all(|backend| after.contains(backend)), "{key}: {before:?} {after:?}");
     }
 }
 
@@ -676,27 +676,27 @@
 }
 
 #[test]
-fn a_key_has_one_home_until_it_is_busy_and_more_if_it_is_much_of_the_traffic() {
+fn a_key_has_one_home_backend_until_it_is_busy_and_more_if_it_is_much_of_the_traffic() {
     let mut balancer = keyed(5, 20);
     (100..160).for_each(|other| balancer.queue.keys.add(other));
-    let homes = |balancer: &mut Balancer| {
+    let home_backends = |balancer: &mut Balancer| {
         (0..100).filter_map(|_| choose(balancer)).collect::<std::collections::BTreeSet<_>>()
     };
-    let home = homes(&mut balancer);
-    assert_eq!(home.len(), 1);
-    balancer.backends.get_mut(home.first().unwrap()).unwrap().in_flight = 9.0;
-    assert!(homes(&mut balancer).is_disjoint(&home));
+    let initial = home_backends(&mut balancer);
+    assert_eq!(initial.len(), 1);
+    balancer.backends.get_mut(initial.first().unwrap()).unwrap().in_flight = 9.0;
+    assert!(home_backends(&mut balancer).is_disjoint(&initial));
     let mut balancer = keyed(5, 20);
     (0..30).for_each(|n| balancer.queue.keys.add(if n % 3 == 0 { 5 } else { n }));
-    assert!(homes(&mut balancer).len() > 3);
+    assert!(home_backends(&mut balancer).len() > 3);
 }
 
 #[test]
 fn a_retry_goes_to_another_backend_than_the_last_attempt() {
     let mut balancer = keyed(5, 20);
-    let home = choose(&mut balancer);
-    balancer.queue.pending.get_mut(&RequestId(1)).unwrap().last_backend = home;
-    assert!(choose(&mut balancer) != home);
+    let home_backend = choose(&mut balancer);
+    balancer.queue.pending.get_mut(&RequestId(1)).unwrap().last_backend = home_backend;
+    assert!(choose(&mut balancer) != home_backend);
     (1..20).for_each(|n| drop(balancer.backends.remove(&id(n))));
     balancer.sampler = BackendSampler::default();
     assert!(choose(&mut balancer) == Some(id(0)));
