--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -295,7 +295,7 @@
 
     fn advance(&mut self, slot: ClientSlot, io: &mut IoContext) {
         let Some(client) = self.connections.get_mut(slot) else { return };
-        // A client's pipelined requests must not fill the memory while the first is being answered.
+        // A client's pipelined requests must not fill the memory while the first awaits its response.
         let max_bytes = match (client.state, &client.incoming_body) {
             (ClientState::Reading, _) => MAX_BUFFERED_MESSAGE_BYTES,
             (ClientState::Waiting(_), Some(_)) => io.window(),
@@ -594,7 +594,7 @@
     }
 
     /// Closes the connections without a pending response. An incomplete request is refused, since it could
-    /// not be answered before the process ends.
+    /// not get its response before the process ends.
     pub fn close_idle(&mut self, io: &mut IoContext) {
         let slots: Vec<_> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what the proxy received, sent and answered since its start, for `/metrics` and for the log.
+//! Counts of what the proxy received, sent and responded to since its start, for `/metrics` and for the log.
 
 use std::fmt::{self, Write};
 
@@ -19,7 +19,7 @@
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Requests that got a 504 because nothing had answered them by their deadline.
+    /// Requests that got a 504 because no response had come by their deadline.
     pub overdue: u64,
     pub attempts_started: u64,
     pub checks: u64,
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -195,8 +195,8 @@
         if !self.pushed {
             return io.events.push_back(ProxyEvent::ListFailed);
         }
-        // Guards against noticing a drain late: a silent agent answers the outstanding request as soon as it
-        // is back, and from then on its list counts as known to the proxy.
+        // Guards against noticing a drain late: a silent agent responds to the outstanding request as soon as
+        // it is back, and from then on its list counts as known to the proxy.
         self.deadline =
             Some(io.deadlines.set(self.requested_at + MIN_REQUEST_INTERVAL, TimerEvent::Discovery));
     }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -30,7 +30,7 @@
 }
 
 impl io::Write for LogWriter {
-    /// Accepts a whole line, whether or not it can be written.
+    /// Accepts a complete line, whether or not it can be written.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if !write_line(line) {
             DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
--- a/crates/proxy/src/proxy/requests.rs
+++ b/crates/proxy/src/proxy/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the proxy: received, attempted, answered and removed.
+//! The life of a request in the proxy: it is received, attempted, given its response and removed.
 
 use super::{PendingRequest, Proxy, StreamedBody, MAX_REPLAY_BYTES};
 use crate::attempt_result::AttemptResult;
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -31,7 +31,7 @@
 pub type ClientSlot = Slot<ClientTag>;
 /// A connection to a backend.
 pub type ConnSlot = Slot<ConnTag>;
-/// A request, until it is answered and all its attempts have ended.
+/// A request, until it has its response and all its attempts have ended.
 pub type RequestSlot = Slot<RequestTag>;
 /// A connection that an operator opened.
 pub type AdminSlot = Slot<AdminTag>;
@@ -153,7 +153,7 @@
     pub result: AttemptResult,
     pub took: Span,
     pub load: Load,
-    /// The head and the whole message of the response, if one came.
+    /// The head and the complete message of the response, if one came.
     pub response: Option<(ResponseHead, Vec<u8>)>,
 }
 
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -1,5 +1,5 @@
 //! Start times of backends on the proxy's own clock. Lists carry start times by a wall clock, and wall clocks
-//! step, by an hour or more. Each listed time is therefore checked against when the proxy heard of the
+//! step, by an hour or more. Each listed time is therefore checked against when the proxy learned of the
 //! backend; where the two disagree, the later start counts, and the backend is warmed up again.
 
 use std::collections::BTreeMap;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -186,7 +186,7 @@
             ..Backend::default()
         };
         if context.settings.slow_start.capacity_ratio(self.started(), context.now) < 1.0 {
-            // All instances hear of a start at once, so each begins to send at a random time. Operators
+            // All instances learn of a start at once, so each begins to send at a random time. Operators
             // enable a backend at one instance after the other and expect each to use it again soon.
             (self.max_in_flight, self.slow_start_credit) =
                 (Some(1.0), if enabled_at.is_some() { 1.0 } else { context.chance });
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -38,7 +38,7 @@
     pub key_affinity: bool,
     /// Whether instances may send each other messages.
     pub peer_messages: bool,
-    /// The longest backoff that clients heed; `None` where they are not told any.
+    /// The longest backoff that clients heed; `None` where they are not sent any.
     pub max_backoff: Option<Span>,
     pub slow_start: SlowStart,
 }
@@ -113,7 +113,7 @@
         (target, if class.late_value > 0.0 { latest } else { target })
     }
 
-    /// Settings of a single instance in one zone that is told of every change of the list and knows no
+    /// Settings of a single instance in one zone that is notified of every change of the list and knows no
     /// tenants.
     pub fn for_classes(classes: Vec<Class>) -> Settings {
         Settings {
