--- a/crates/lab/src/fleet_figures.rs
+++ b/crates/lab/src/fleet_figures.rs
@@ -104,10 +104,10 @@
 
 fn collect_events<'a>(records: &'a [Record], scenario: &'a Scenario, start: At) -> RunEvents<'a> {
     let end = start + scenario.duration;
-    let mut by: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut proxy_of_request: BTreeMap<&str, &str> = BTreeMap::new();
     for record in records {
         if let RecordKind::Sent { id, to, .. } | RecordKind::CallSent { id, to, .. } = &record.kind {
-            by.insert(id, to);
+            proxy_of_request.insert(id, to);
         }
     }
     let (attempts, affected, membership_changes, intents, fault_ends) = Default::default();
@@ -122,13 +122,13 @@
         fault_ends,
         first_fault: None,
     };
-    let mut on: BTreeMap<&str, i32> = BTreeMap::new();
+    let mut active_faults: BTreeMap<&str, i32> = BTreeMap::new();
     let mut down_proxies: BTreeSet<&str> = BTreeSet::new();
     for record in records {
-        let (t, before) = (record.t, on.values().sum::<i32>() as usize + down_proxies.len());
+        let (t, before) = (record.t, active_faults.values().sum::<i32>() as usize + down_proxies.len());
         match &record.kind {
             RecordKind::Arrived { id, .. } => {
-                if let Some(proxy) = by.get(id.as_str()).filter(|_| t < end) {
+                if let Some(proxy) = proxy_of_request.get(id.as_str()).filter(|_| t < end) {
                     events.attempts.push((t, proxy, &record.component));
                 }
             }
@@ -138,7 +138,7 @@
                 if *begins {
                     events.first_fault.get_or_insert(t);
                 }
-                *on.entry(text).or_default() += if *begins { 1 } else { -1 };
+                *active_faults.entry(text).or_default() += if *begins { 1 } else { -1 };
                 if fault.is_some_and(|fault| fault.changes_membership()) && t < end {
                     events.membership_changes.push((t, befalls));
                 }
@@ -156,9 +156,9 @@
             RecordKind::Stopped { .. } if t < end => drop(events.affected.insert(&record.component)),
             _ => {}
         }
-        // A fault without an end doesn't count as active: it is part of the normal state and doesn't block
-        // recovery.
-        let now = on.values().sum::<i32>().max(0) as usize + down_proxies.len();
+        // A fault that never ends is part of the normal state: recovery is measured from each end of a fault,
+        // even if others stay active.
+        let now = active_faults.values().sum::<i32>().max(0) as usize + down_proxies.len();
         if before > 0 && now < before && t > start && t < end {
             events.fault_ends.push(t);
         }
@@ -220,7 +220,7 @@
     fn recovery_s(&self) -> f64 {
         let Some(first) = self.first_fault else { return 0.0 };
         let wanted = self.served_share(self.start, first).unwrap_or(1.0) * RECOVERED_RATIO;
-        let back = |from: &At| {
+        let recovery_from = |from: &At| {
             let mut at = *from;
             while at + RECOVERY_WINDOW <= self.end {
                 if self.served_share(at, at + RECOVERY_WINDOW).is_none_or(|share| share >= wanted) {
@@ -230,7 +230,7 @@
             }
             self.end.since(*from).secs()
         };
-        self.fault_ends.iter().map(back).fold(0.0, f64::max)
+        self.fault_ends.iter().map(recovery_from).fold(0.0, f64::max)
     }
 
     fn backend_spread(&self) -> f64 {
@@ -267,7 +267,7 @@
 /// All fleet figures of a run that began at `start`.
 pub fn compute(records: &[Record], scenario: &Scenario, start: At) -> FleetFigures {
     let end = start + scenario.duration;
-    let mut f = FleetFigures::default();
+    let mut figures = FleetFigures::default();
     let dead = dead(records, end);
     let mut offered: BTreeMap<&str, Vec<At>> = BTreeMap::new();
     let (mut starts, mut stops) = (Vec::new(), Vec::new());
@@ -306,10 +306,10 @@
             let own = requests_at_dead.get(host).map_or(&[][..], |all| all.as_slice());
             let settled = (*from + DEATH_DETECTION_TIME).min(*to);
             let within = |a: At, b: At| own.iter().filter(|at| **at >= a && **at < b).count() as u64;
-            f.dead_first = f.dead_first.max(within(*from, settled));
+            figures.dead_first = figures.dead_first.max(within(*from, settled));
             let left = to.since(settled);
             if left >= Micros::from_millis(1000) {
-                f.dead_per_s = f.dead_per_s.max(within(settled, *to) as f64 / left.secs());
+                figures.dead_per_s = figures.dead_per_s.max(within(settled, *to) as f64 / left.secs());
             }
         }
     }
@@ -320,24 +320,25 @@
             stops.iter().find(|(h, at)| h == host && at > from).map_or(end, |(_, at)| *at + Micros(1));
         let until = (*from + tier.cold_ramp).min(ended);
         let own = offered.get(host.as_str()).map_or(&[][..], |all| all.as_slice());
-        f.cold_most = f.cold_most.max(peak_cold_load(own, (*from, until), tier, tier.core_count(n)).most);
+        figures.cold_most =
+            figures.cold_most.max(peak_cold_load(own, (*from, until), tier, tier.core_count(n)).most);
     }
     let seconds = scenario.duration.secs().max(1e-6);
-    f.talk_per_s = talk.values().map(|(sent, _)| *sent as f64 / seconds).fold(0.0, f64::max);
-    f.talk_bytes_per_s = talk.values().map(|(_, bytes)| *bytes as f64 / seconds).fold(0.0, f64::max);
-    f.talk_late_bytes_per_s =
+    figures.talk_per_s = talk.values().map(|(sent, _)| *sent as f64 / seconds).fold(0.0, f64::max);
+    figures.talk_bytes_per_s = talk.values().map(|(_, bytes)| *bytes as f64 / seconds).fold(0.0, f64::max);
+    figures.talk_late_bytes_per_s =
         late_talk.values().map(|bytes| *bytes as f64 * 2.0 / seconds).fold(0.0, f64::max);
     let sent: u64 = talk.values().map(|(sent, _)| sent).sum();
-    f.talk_mean_per_s = sent as f64 / seconds / talk.len().max(1) as f64;
+    figures.talk_mean_per_s = sent as f64 / seconds / talk.len().max(1) as f64;
     let count = proxies.max(1) as f64;
-    (f.proxy_cpu_ms, f.proxy_wakeups) = (cpu_ms / count, wakeups_per_s / count);
-    (f.proxy_mib, f.proxy_descriptors) = (cost.0 / count, cost.1);
-    membership_figures::fill(records, (start, end), &mut f);
-    duty_figures::fill(records, end, &mut f);
+    (figures.proxy_cpu_ms, figures.proxy_wakeups) = (cpu_ms / count, wakeups_per_s / count);
+    (figures.proxy_mib, figures.proxy_descriptors) = (cost.0 / count, cost.1);
+    membership_figures::fill(records, (start, end), &mut figures);
+    duty_figures::fill(records, end, &mut figures);
     let events = collect_events(records, scenario, start);
-    (f.moved, f.moved_calm) = events.moved();
-    f.backend_spread = events.backend_spread();
-    f.proxy_spread = events.proxy_spread(records);
-    f.back_s = events.recovery_s();
-    f
+    (figures.moved, figures.moved_calm) = events.moved();
+    figures.backend_spread = events.backend_spread();
+    figures.proxy_spread = events.proxy_spread(records);
+    figures.back_s = events.recovery_s();
+    figures
 }
--- a/crates/lab/src/membership_figures.rs
+++ b/crates/lab/src/membership_figures.rs
@@ -126,14 +126,14 @@
         let settling =
             history.starts.iter().any(|started| *started <= at && at.since(*started) < VIEW_SETTLE_TIME);
         let parts = views.iter().filter_map(|(viewer, views)| {
-            let downtime = history
+            let is_down = history
                 .downtime
                 .get(*viewer)
                 .into_iter()
                 .flatten()
                 .any(|(from, to)| *from <= at && at <= *to);
             let last = views[..views.partition_point(|(t, ..)| *t <= at)].last()?;
-            (!downtime).then(|| 1.0 / last.3.max(1) as f64)
+            (!is_down).then(|| 1.0 / last.3.max(1) as f64)
         });
         let sum = parts.sum::<f64>();
         if !settling {
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -103,7 +103,7 @@
     executions: BTreeMap<String, Vec<(At, String)>>,
     arrived: BTreeMap<String, Vec<(At, String)>>,
     offered: BTreeMap<String, Vec<At>>,
-    dropped: BTreeSet<String>,
+    abandoned: BTreeSet<String>,
     /// By proxy and backend: when the agent announced the backend's state, and whether it was ready.
     announcements: BTreeMap<(String, String), Vec<(At, bool)>>,
     /// By proxy and backend: the latest announced state, which a restarted proxy knows from its start.
@@ -176,7 +176,7 @@
                 self.arrived.entry(id.clone()).or_default().push((*first, part.clone()));
                 self.offered.entry(part.clone()).or_default().push(t);
             }
-            RecordKind::CallerGone { id, .. } => drop(self.dropped.insert(id.clone())),
+            RecordKind::CallerGone { id, .. } => drop(self.abandoned.insert(id.clone())),
             RecordKind::HealthReported { proxy, host, health, .. } => {
                 let announcements = self.announcements.entry((proxy.clone(), host.clone())).or_default();
                 announcements.push((t, health == "Ready"));
@@ -230,7 +230,7 @@
 
     /// Whether a planned fault explains a missing or late response.
     fn excused(&self, request: &Request, until: At) -> bool {
-        let over = |spans: &Spans, name: &str, skip: &[&str]| {
+        let overlaps = |spans: &Spans, name: &str, skip: &[&str]| {
             let spans = spans.get(name).into_iter().flatten();
             spans
                 .filter(|(_, _, how)| !skip.contains(&how.as_str()))
@@ -242,8 +242,8 @@
                 .get(caller)
                 .is_some_and(|stops| stops.iter().any(|at| *at >= request.sent && *at <= until))
         });
-        over(&self.downtimes, &request.to, &["term", "shrink"])
-            || over(&self.link_cuts, &link, &[])
+        overlaps(&self.downtimes, &request.to, &["term", "shrink"])
+            || overlaps(&self.link_cuts, &link, &[])
             || caller_gone
     }
 }
@@ -261,11 +261,11 @@
             verdict.void.get_or_insert(text.clone());
         }
     }
-    let slack = SOCKET_TOLERANCE + verdict.late;
+    let tolerance = SOCKET_TOLERANCE + verdict.late;
     for (id, request) in &log.requests {
-        check_one_response(&log, id, request, slack, &mut verdict);
-        check_one_execution(&log, id, request, scenario, slack, &mut verdict);
-        check_drain_grace(&log, id, request, scenario, slack, &mut verdict);
+        check_one_response(&log, id, request, tolerance, &mut verdict);
+        check_one_execution(&log, id, request, scenario, tolerance, &mut verdict);
+        check_drain_grace(&log, id, request, scenario, tolerance, &mut verdict);
     }
     for (host, starts) in &log.starts {
         let Some((tier, _, n)) = scenario.components(host).first().copied() else { continue };
@@ -284,7 +284,13 @@
     verdict
 }
 
-fn check_one_response(log: &RequestLog, id: &str, request: &Request, slack: Micros, verdict: &mut Verdict) {
+fn check_one_response(
+    log: &RequestLog,
+    id: &str,
+    request: &Request,
+    tolerance: Micros,
+    verdict: &mut Verdict,
+) {
     let mut breach = |at, text: String| {
         let id = Some(id.to_string());
         verdict.breaches.push(Breach { rule: Rule::OneResponse, id, at, text });
@@ -301,7 +307,7 @@
         return breach(request.responses[1].0, format!("{} answers", request.responses.len()));
     }
     if let Some((at, status)) = request.responses.first() {
-        if *at > request.cut_off + slack {
+        if *at > request.cut_off + tolerance {
             if log.excused(request, *at) {
                 verdict.excused += 1;
             } else {
@@ -320,7 +326,7 @@
     let left = request.caller.is_some() && request.lost.is_none();
     if log.excused(request, end) {
         verdict.excused += 1;
-    } else if left && (end < request.cut_off + slack || parent_client_gone(log, id)) {
+    } else if left && (end < request.cut_off + tolerance || parent_client_gone(log, id)) {
         // No response was due any more, or the call is not over yet.
     } else if let Some((at, how)) = &request.lost {
         let kept = how.contains("kept") || request.caller.is_some();
@@ -329,7 +335,7 @@
         } else {
             breach(*at, format!("no answer: {how}"));
         }
-    } else if log.end > request.cut_off + slack {
+    } else if log.end > request.cut_off + tolerance {
         breach(end, "no answer by the cut-off, nor after".to_string());
     }
 }
@@ -337,7 +343,7 @@
 /// Whether the client of the request that made this call gave up.
 fn parent_client_gone(log: &RequestLog, id: &str) -> bool {
     let parent = id.rsplitn(3, '.').last().unwrap_or_default();
-    log.dropped.contains(parent)
+    log.abandoned.contains(parent)
 }
 
 fn check_one_execution(
@@ -345,7 +351,7 @@
     id: &str,
     request: &Request,
     scenario: &Scenario,
-    slack: Micros,
+    tolerance: Micros,
     verdict: &mut Verdict,
 ) {
     let Some(executions) = log.executions.get(id) else { return };
@@ -366,7 +372,7 @@
             {
                 breach(*at, format!("begun at {} and again at {host}, outside of its group", first.1));
             }
-            if let Some((at, host)) = rest.iter().find(|(at, _)| *at > first.0 + window + slack) {
+            if let Some((at, host)) = rest.iter().find(|(at, _)| *at > first.0 + window + tolerance) {
                 breach(*at, format!("begun again at {host} {} after the first time", at.since(first.0)));
             }
         }
@@ -416,7 +422,7 @@
     id: &str,
     request: &Request,
     scenario: &Scenario,
-    slack: Micros,
+    tolerance: Micros,
     verdict: &mut Verdict,
 ) {
     for (first, host) in log.arrived.get(id).into_iter().flatten() {
@@ -431,7 +437,7 @@
             announcements.iter().rev().skip_while(|(t, _)| t > at).take_while(|(_, ready)| !ready).last();
         let since = since.map_or(*at, |(at, _)| *at);
         // The proxy could not react while it was paused, nor immediately afterwards.
-        if *first > since + grace + slack + log.paused_time(&request.to, since, *first) {
+        if *first > since + grace + tolerance + log.paused_time(&request.to, since, *first) {
             let text =
                 format!("sent to {host} {} after {} was told of its drain", first.since(since), request.to);
             verdict.breaches.push(Breach {
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -17,7 +17,7 @@
 use crate::scenario_file::ScenarioFile;
 
 /// The rules and bounds that a schedule breaks; they distinguish one failure from another.
-pub type Marks = BTreeSet<String>;
+pub type BrokenChecks = BTreeSet<String>;
 
 /// A reduced schedule is accepted only if it fails in each of this many runs.
 const CONFIRMATION_RUNS: usize = 2;
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub number: u64,
-    pub marks: Marks,
+    pub marks: BrokenChecks,
     pub faults: Vec<Fault>,
     /// Number of faults before the reduction.
     pub drawn: usize,
@@ -66,7 +66,7 @@
 /// The result of running a schedule.
 enum RunResult {
     Passed,
-    Failed(Marks, String),
+    Failed(BrokenChecks, String),
     Inconclusive,
 }
 
@@ -105,7 +105,8 @@
         if verdict.void.is_some() {
             return Ok(RunResult::Inconclusive);
         }
-        let mut marks: Marks = verdict.breaches.iter().map(|breach| breach.rule.name().to_string()).collect();
+        let mut marks: BrokenChecks =
+            verdict.breaches.iter().map(|breach| breach.rule.name().to_string()).collect();
         if verdict.unsure() && marks.is_empty() && !run.missed.is_empty() {
             return Ok(RunResult::Inconclusive);
         }
@@ -123,14 +124,14 @@
         &self,
         faults: &[Fault],
         seed: u64,
-        marks: &Marks,
+        marks: &BrokenChecks,
         times: usize,
     ) -> Result<usize, Failure> {
-        let broke =
+        let is_failure =
             |result: &RunResult| matches!(result, RunResult::Failed(found, _) if !found.is_disjoint(marks));
         let mut count = 0;
         for played in 0..times {
-            count += usize::from(broke(&self.play(faults, seed)?));
+            count += usize::from(is_failure(&self.play(faults, seed)?));
             // One run without a failure is enough to reject a candidate.
             if count <= played && times < REPLAYS {
                 break;
@@ -144,7 +145,7 @@
         &self,
         candidates: &[Vec<Fault>],
         seed: u64,
-        marks: &Marks,
+        marks: &BrokenChecks,
     ) -> Result<Option<usize>, Failure> {
         for (round, some) in candidates.chunks(self.jobs.max(1)).enumerate() {
             let results = std::thread::scope(|scope| {
@@ -168,7 +169,7 @@
         &self,
         mut faults: Vec<Fault>,
         seed: u64,
-        marks: &Marks,
+        marks: &BrokenChecks,
         started_at: Instant,
     ) -> Result<Vec<Fault>, Failure> {
         while faults.len() > 1 && !self.is_over(started_at) {
@@ -222,7 +223,7 @@
         std::fs::write(&found.path, text).map_err(write_error)
     }
 
-    /// Runs all schedules and reports each run and each finding to `told`. Findings made before an
+    /// Runs all schedules and reports each run and each finding to `on_progress`. Findings made before an
     /// interruption are kept.
     pub fn run(&self, on_progress: &(dyn Fn(u64, usize, &str) + Sync)) -> Result<SearchResult, Failure> {
         let scenario = self.source.scenario(None, false).map_err(Failure::InvalidInput)?;
