--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -93,9 +93,9 @@
 
 impl Fault {
     /// A fault that begins when it is injected, by the name of its kind.
-    pub fn now(part: &str, kind: &str, lasts: Micros) -> Option<Fault> {
+    pub fn now(part: &str, kind: &str, duration: Micros) -> Option<Fault> {
         let kind = serde_json::from_value(serde_json::Value::String(kind.to_string())).ok()?;
-        Some(Fault { part: part.to_string(), duration: Some(lasts), kind, times: 1, ..Fault::default() })
+        Some(Fault { part: part.to_string(), duration: Some(duration), kind, times: 1, ..Fault::default() })
     }
 
     /// Its description in the records.
--- a/crates/lab/src/fault_schedule.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -113,10 +113,10 @@
 }
 
 fn draw_fault(range: &FaultRange, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
-    let lasts = scenario.duration;
-    let at = draw_span(rng, range.at.unwrap_or([lasts.scaled(0.05), lasts.scaled(0.7)]));
-    let most = lasts.scaled(0.4).max(MIN_FAULT_DURATION);
-    let length = draw_span(rng, range.duration.unwrap_or([MIN_FAULT_DURATION, most]));
+    let duration = scenario.duration;
+    let at = draw_span(rng, range.at.unwrap_or([duration.scaled(0.05), duration.scaled(0.7)]));
+    let max_duration = duration.scaled(0.4).max(MIN_FAULT_DURATION);
+    let length = draw_span(rng, range.duration.unwrap_or([MIN_FAULT_DURATION, max_duration]));
     let place = rng.random_range(0..range.parts.len().max(1));
     let found = range.parts.get(place).map(|part| scenario.components(part)).unwrap_or_default();
     let (tier, letter, n) = match found.len() {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -43,7 +43,7 @@
 pub enum Failure {
     /// An error of the machine or of a program: status 1.
     Environment(String),
-    /// The request can't be carried out as fault_count: status 2.
+    /// The request can't be carried out as given: status 2.
     InvalidInput(String),
     Interrupted,
 }
@@ -214,7 +214,7 @@
                     let config = self.options.dir.join(format!("{}-p-{n}.{extension}", tier.name));
                     let (name, address) = (self.name(t, 'p', n), self.address(t, 'p', n));
                     self.agent_addresses.insert((t, n), self.address(t, 'a', n));
-                    // Another program on that address would answer in the proxy's index.
+                    // Another program on that address would answer in the proxy's place.
                     let listener = std::net::TcpListener::bind(address);
                     listener.map_err(|e| {
                         Failure::InvalidInput(format!("{name} cannot listen on {address}: {e}"))
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -39,7 +39,7 @@
 
     /// The same deployment with only these faults and this seed, without variants, comparisons, matrix and
     /// search.
-    pub fn with_faults(&self, faults: &[Fault], seed: u64, lasts: Micros) -> Result<ScenarioFile, String> {
+    pub fn with_faults(&self, faults: &[Fault], seed: u64, duration: Micros) -> Result<ScenarioFile, String> {
         let mut source = self.clone();
         let list: Result<Vec<Value>, _> = faults.iter().map(Value::try_from).collect();
         let list = list.map_err(|e| format!("a fault cannot be written: {e}"))?;
@@ -49,7 +49,7 @@
         source.table.insert("fault".to_string(), Value::Array(list));
         source.table.insert("seed".to_string(), Value::Integer(seed as i64));
         for field in ["lasts", "short"] {
-            source.table.insert(field.to_string(), Value::String(lasts.to_string()));
+            source.table.insert(field.to_string(), Value::String(duration.to_string()));
         }
         source.text = toml::to_string(&source.table).map_err(|e| format!("cannot be written: {e}"))?;
         Ok(source)
