--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Sums the logs of many proxies: what forwards came to, by second and by host, and each change of mode.
+"""Sums the logs of many proxies: how attempts ended, by second and by host, and each change of mode.
 
 usage: tools/fleet.py DIR [--by seconds] [--host NAME]
 
 DIR holds one `.log` a proxy, as the proxy writes it at SPARLUG_LOG=trace (at `info` only the modes are there, and
-the closing counters of proxies that were told to go). Tiers are told apart by their hosts.
+the closing counters of proxies that were told to go). Tiers differ by their hosts.
+Lines of versions before December 2026, such as "forward ended", are counted too.
 """
 
 import argparse
@@ -76,25 +77,25 @@
     for at, _, _, text, fields in all_lines:
         row = f"{int((at - start) / wanted.by) * wanted.by:7.1f}"
         host = fields.get("host", "-")
-        if text.startswith("forward honoured"):
-            what = "honoured"
-        elif text.startswith("forward ended"):
+        if text.startswith(("attempt served", "forward honoured")):
+            what = "served"
+        elif text.startswith(("attempt ended", "forward ended")):
             what = ending(fields)
-        elif text.startswith("forward "):
-            what = "forwards"
+        elif text.startswith(("attempt ", "forward ")):
+            what = "attempts"
         elif text.startswith("check ended"):
             what = "checks"
-        elif text.startswith("dialled"):
-            what = "dials"
-        elif text.startswith("answered without"):
+        elif text.startswith(("connecting to backend", "dialled")):
+            what = "connects"
+        elif text.startswith(("responded without", "answered without")):
             what = "answer " + fields.get("status", "?")
-        elif mode := re.search(r" (out, \w+|back in)", text):
+        elif mode := re.search(r" (ejected, \w+|readmitted|out, \w+|back in)", text):
             what = mode[1]
-        elif found := re.match(r"(ordinary|waiting|refusing|list lost|discovery failed)", text):
+        elif found := re.match(r"(ordinary|waiting|refusing|list of backends not available|list lost|discovery failed)", text):
             what = found[1]
-        elif text.startswith("gone") or text.startswith("signal"):
+        elif text.startswith(("stopped", "gone", "signal")):
             for name, value in FIELD.findall(text):
-                closing[name] += int(value) if value.isdigit() and text.startswith("gone") else 0
+                closing[name] += int(value) if value.isdigit() and not text.startswith("signal") else 0
             continue
         else:
             continue
