--- a/crates/lab/src/agent.rs
+++ b/crates/lab/src/agent.rs
@@ -1,5 +1,6 @@
-//! A stand-in agent of discovery for one tier: the list and the watch as the platform's protocol has them, one
-//! address for each proxy, with lag, silence, an old list, a version that jumps back, and a move.
+//! A discovery agent for one tier, in place of the platform's: it serves the list of backends and watches on
+//! it in the platform's protocol, at one address for each proxy. Its faults are lag, silence, an old list, a
+//! version that jumps back, lost connections, delayed responses and a move to another address.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,39 +9,47 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::{At, Micros};
-use crate::hub::{ConnId, Gone, Hub, ListenerId, Part};
-use crate::message;
-use crate::record::What;
+use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
+use crate::http_message;
+use crate::record::RecordKind;
 
+/// A backend on the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct BackendEntry {
     pub host: String,
-    pub dial: SocketAddr,
-    pub site: String,
-    pub block: usize,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
+    #[serde(rename = "site")]
+    pub zone: String,
+    #[serde(rename = "block")]
+    pub pod: usize,
     pub health: String,
-    pub share: f64,
-    pub born_ms: f64,
+    #[serde(rename = "share")]
+    pub size: f64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: f64,
 }
 
+/// What the agent is started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub name: String,
     /// One address for each proxy, by its name.
     pub listen: Vec<(String, SocketAddr)>,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<BackendEntry>,
     pub lag: Micros,
 }
 
+/// Commands of the running scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    Set(Entry),
-    /// Says nothing to this proxy any more.
+    Set(BackendEntry),
+    /// Stops or resumes responding to this proxy.
     Mute {
         proxy: usize,
         on: bool,
     },
-    /// Goes on with the list as it is now, for this proxy.
+    /// Freezes the list that this proxy gets, or unfreezes it.
     Stale {
         proxy: usize,
         on: bool,
@@ -48,17 +57,17 @@
     JumpBack {
         by: u64,
     },
-    /// Resets this proxy's connections, and lets none come up.
+    /// Resets this proxy's connections and refuses new ones.
     Cut {
         proxy: usize,
         on: bool,
     },
-    /// Tells this proxy the list as it was so long ago.
+    /// Serves this proxy the list as it was this long ago.
     Behind {
         proxy: usize,
         by: Option<Micros>,
     },
-    /// Answers this proxy so much later.
+    /// Delays the responses to this proxy.
     Delay {
         proxy: usize,
         by: Micros,
@@ -69,83 +78,95 @@
     },
 }
 
+/// What a timer is for.
 #[derive(Debug)]
-pub enum Due {
-    Set(Entry),
-    Wait(ConnId, u64),
-    /// An answer that was held back.
-    Answer(ConnId, Vec<u8>, Vec<Entry>, u64),
-    /// A change has come of age for those who hear it late.
-    Look,
+pub enum TimerEvent {
+    Apply(BackendEntry),
+    WatchTimeout(ConnId, u64),
+    /// A delayed response.
+    SendResponse(ConnId, Vec<u8>, Vec<BackendEntry>, u64),
+    /// A change is now old enough for proxies that get the list late.
+    NotifyWatches,
 }
 
-struct Side {
+/// What one proxy sees of the agent.
+struct ProxyView {
     name: String,
     listener: Option<ListenerId>,
-    mute: bool,
-    /// What it goes on with while it is stale.
-    frozen: Option<(u64, Vec<Entry>)>,
-    behind: Option<Micros>,
-    delay: Micros,
+    muted: bool,
+    /// The version and the list that it gets while it is stale.
+    frozen_list: Option<(u64, Vec<BackendEntry>)>,
+    list_delay: Option<Micros>,
+    response_delay: Micros,
     address: SocketAddr,
-    cut: bool,
-    /// It has moved, and the proxy has not asked at the new address yet.
+    disconnected: bool,
+    /// The agent has moved, and the proxy has not sent a request to the new address yet.
     moved: bool,
-    /// What counts as told to the proxy, whether or not it asks: the health of each backend.
-    had: BTreeMap<String, String>,
+    /// The health of each backend that counts as known to the proxy, whether or not it sent a request.
+    known_health: BTreeMap<String, String>,
 }
 
-/// How the list stood from a moment on.
-struct Stood {
+/// The list as it was from `since` on.
+struct ListVersion {
     since: At,
     version: u64,
-    entries: Vec<Entry>,
+    entries: Vec<BackendEntry>,
 }
 
+/// The discovery agent of one tier.
 pub struct Agent {
     spec: Spec,
-    sides: Vec<Side>,
+    views: Vec<ProxyView>,
     version: u64,
-    entries: BTreeMap<String, Entry>,
-    /// Which version changed which host last, and how it stood then.
-    changes: Vec<(u64, Entry)>,
-    history: Vec<Stood>,
-    /// Watches that wait: the side, from which version, and the number of the call.
-    waiting: BTreeMap<ConnId, (usize, u64, u64)>,
-    conns: BTreeMap<ConnId, usize>,
-    calls: u64,
+    entries: BTreeMap<String, BackendEntry>,
+    /// All changes, each with its version and the entry after it.
+    changes: Vec<(u64, BackendEntry)>,
+    history: Vec<ListVersion>,
+    /// Open watches: the proxy, the version that it has, and the number of the watch.
+    watches: BTreeMap<ConnId, (usize, u64, u64)>,
+    connections: BTreeMap<ConnId, usize>,
+    watch_count: u64,
 }
 
-type Loop = Hub<Due>;
+type Loop = EventLoop<TimerEvent>;
 
 impl Agent {
     pub fn new(spec: Spec) -> Agent {
         let entries = spec.entries.iter().map(|entry| (entry.host.clone(), entry.clone())).collect();
-        let (sides, changes, history, waiting, conns) = Default::default();
-        let mut agent =
-            Agent { spec, sides, version: 1000, entries, changes, history, waiting, conns, calls: 0 };
-        agent.note(At::default());
+        let (views, changes, history, watches, connections) = Default::default();
+        let mut agent = Agent {
+            spec,
+            views,
+            version: 1000,
+            entries,
+            changes,
+            history,
+            watches,
+            connections,
+            watch_count: 0,
+        };
+        agent.record_version(At::default());
         agent
     }
 
-    /// Remembers how the list stands.
-    fn note(&mut self, since: At) {
+    /// Adds the current list to the history.
+    fn record_version(&mut self, since: At) {
         let entries = self.entries.values().cloned().collect();
-        self.history.push(Stood { since, version: self.version, entries });
+        self.history.push(ListVersion { since, version: self.version, entries });
     }
 
-    /// What this side is told: the version, and the list.
-    fn told_to(&self, side: usize, now: At) -> (u64, Vec<Entry>) {
-        let side = &self.sides[side];
-        if let Some(frozen) = &side.frozen {
-            return frozen.clone();
+    /// The version and the list that this proxy gets now.
+    fn list_for(&self, view: usize, now: At) -> (u64, Vec<BackendEntry>) {
+        let view = &self.views[view];
+        if let Some(frozen_list) = &view.frozen_list {
+            return frozen_list.clone();
         }
-        let until = now - side.behind.unwrap_or(Micros::ZERO);
-        let stood = self.history.iter().rev().find(|stood| side.behind.is_none() || stood.since <= until);
-        stood.map(|stood| (stood.version, stood.entries.clone())).unwrap_or_default()
+        let shown_at = now - view.list_delay.unwrap_or(Micros::ZERO);
+        let past = self.history.iter().rev().find(|past| view.list_delay.is_none() || past.since <= shown_at);
+        past.map(|past| (past.version, past.entries.clone())).unwrap_or_default()
     }
 
-    fn set(&mut self, hub: &mut Loop, entry: Entry) {
+    fn apply(&mut self, event_loop: &mut Loop, entry: BackendEntry) {
         self.version += 1;
         if entry.health == "Gone" {
             self.entries.remove(&entry.host);
@@ -153,234 +174,275 @@
             self.entries.insert(entry.host.clone(), entry.clone());
         }
         self.changes.push((self.version, entry));
-        self.note(hub.now);
-        self.tell_all(hub);
-        for by in self.sides.iter().filter_map(|side| side.behind).collect::<Vec<_>>() {
-            hub.after(by + Micros(1), Due::Look);
+        self.record_version(event_loop.now);
+        self.notify_watches(event_loop);
+        for by in self.views.iter().filter_map(|view| view.list_delay).collect::<Vec<_>>() {
+            event_loop.schedule_after(by + Micros(1), TimerEvent::NotifyWatches);
         }
     }
 
-    fn tell_all(&mut self, hub: &mut Loop) {
-        self.count(hub);
-        let all: Vec<_> = self.waiting.iter().map(|(conn, (side, from, _))| (*conn, *side, *from)).collect();
-        for (conn, side, from) in all {
-            if !self.sides[side].mute && from != self.told_to(side, hub.now).0 {
-                self.waiting.remove(&conn);
-                self.tell(hub, conn, side, Some(from));
+    fn notify_watches(&mut self, event_loop: &mut Loop) {
+        self.record_pushed(event_loop);
+        let all: Vec<_> = self.watches.iter().map(|(conn, (view, from, _))| (*conn, *view, *from)).collect();
+        for (conn, view, from) in all {
+            if !self.views[view].muted && from != self.list_for(view, event_loop.now).0 {
+                self.watches.remove(&conn);
+                self.send_list(event_loop, conn, view, Some(from));
             }
         }
     }
 
-    /// Counts as told what it has for each proxy: lists are pushed, and the agent is on the proxy's own machine.
-    /// What it holds back itself counts when it is written.
-    fn count(&mut self, hub: &mut Loop) {
-        for side in 0..self.sides.len() {
-            let Side { mute, cut, moved, delay, .. } = self.sides[side];
-            if mute || cut || moved || delay > Micros::ZERO {
+    /// Records the changes of each proxy's list as told to it. They count from now, because lists are pushed
+    /// and the agent runs on the proxy's machine; a response that the agent delays counts when it is written.
+    fn record_pushed(&mut self, event_loop: &mut Loop) {
+        for view in 0..self.views.len() {
+            let ProxyView { muted, disconnected, moved, response_delay, .. } = self.views[view];
+            if muted || disconnected || moved || response_delay > Micros::ZERO {
                 continue;
             }
-            let (seq, entries) = self.told_to(side, hub.now);
-            let has: BTreeMap<_, _> = entries.into_iter().map(|entry| (entry.host, entry.health)).collect();
-            let side = &mut self.sides[side];
-            let gone = side.had.keys().filter(|host| !has.contains_key(*host)).map(|host| (host, "Gone"));
-            let changed = has.iter().filter(|(host, health)| side.had.get(*host) != Some(*health));
+            let (seq, entries) = self.list_for(view, event_loop.now);
+            let current: BTreeMap<_, _> =
+                entries.into_iter().map(|entry| (entry.host, entry.health)).collect();
+            let view = &mut self.views[view];
+            let gone = view
+                .known_health
+                .keys()
+                .filter(|host| !current.contains_key(*host))
+                .map(|host| (host, "Gone"));
+            let changed =
+                current.iter().filter(|(host, health)| view.known_health.get(*host) != Some(*health));
             for (host, health) in gone.chain(changed.map(|(host, health)| (host, health.as_str()))) {
-                let (proxy, host, health) = (side.name.clone(), host.clone(), health.to_string());
-                hub.record(What::Told { proxy, host, health, seq });
+                let (proxy, host, health) = (view.name.clone(), host.clone(), health.to_string());
+                event_loop.record(RecordKind::HealthReported { proxy, host, health, seq });
             }
-            side.had = has;
+            view.known_health = current;
         }
     }
 
-    /// Writes the list, or what changed since a version.
-    fn tell(&mut self, hub: &mut Loop, conn: ConnId, side: usize, from: Option<u64>) {
-        let (version, entries) = self.told_to(side, hub.now);
-        let known = from.filter(|from| *from <= version && *from >= 1000);
-        let (whole, hosts) = match known {
+    /// Sends the full list, or the changes since a version that the agent knows.
+    fn send_list(&mut self, event_loop: &mut Loop, conn: ConnId, view: usize, from: Option<u64>) {
+        let (version, entries) = self.list_for(view, event_loop.now);
+        let known_version = from.filter(|from| *from <= version && *from >= 1000);
+        let (full, hosts) = match known_version {
             None => (true, entries),
             Some(from) => {
                 let changes = self.changes.iter().filter(|(at, _)| *at > from && *at <= version);
-                let mut last = BTreeMap::new();
-                changes.for_each(|(_, entry)| drop(last.insert(entry.host.clone(), entry.clone())));
-                (false, last.into_values().collect())
+                let mut latest = BTreeMap::new();
+                changes.for_each(|(_, entry)| drop(latest.insert(entry.host.clone(), entry.clone())));
+                (false, latest.into_values().collect())
             }
         };
-        let body = serde_json::json!({ "seq": version, "whole": whole, "hosts": hosts }).to_string();
-        let answer =
-            message::write_answer(200, &[("Content-Type", "application/json".into())], body.as_bytes());
-        match self.sides[side].delay {
-            Micros::ZERO => self.answer(hub, conn, answer, hosts, version),
-            delay => hub.after(delay, Due::Answer(conn, answer, hosts, version)),
+        let body = serde_json::json!({ "seq": version, "whole": full, "hosts": hosts }).to_string();
+        let response = http_message::encode_response(
+            200,
+            &[("Content-Type", "application/json".into())],
+            body.as_bytes(),
+        );
+        match self.views[view].response_delay {
+            Micros::ZERO => self.write_list(event_loop, conn, response, hosts, version),
+            delay => {
+                event_loop.schedule_after(delay, TimerEvent::SendResponse(conn, response, hosts, version))
+            }
         }
     }
 
-    fn answer(&mut self, hub: &mut Loop, conn: ConnId, answer: Vec<u8>, hosts: Vec<Entry>, seq: u64) {
-        // One that went away in the meantime has been told nothing.
-        let Some(side) = self.conns.get(&conn).copied() else { return };
-        hub.write(conn, &answer);
-        let proxy = &self.sides[side].name;
+    fn write_list(
+        &mut self,
+        event_loop: &mut Loop,
+        conn: ConnId,
+        response: Vec<u8>,
+        hosts: Vec<BackendEntry>,
+        seq: u64,
+    ) {
+        // If the connection has closed in the meantime, the proxy was told nothing.
+        let Some(view) = self.connections.get(&conn).copied() else { return };
+        event_loop.write(conn, &response);
+        let proxy = &self.views[view].name;
         for entry in hosts {
             let (host, health) = (entry.host, entry.health);
-            hub.record(What::Told { proxy: proxy.clone(), host, health, seq });
+            event_loop.record(RecordKind::HealthReported { proxy: proxy.clone(), host, health, seq });
         }
     }
 
-    fn calls_on(&mut self, hub: &mut Loop, conn: ConnId) {
-        let Some(side) = self.conns.get(&conn).copied() else { return };
-        if self.sides[side].mute {
+    fn handle_requests(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        let Some(view) = self.connections.get(&conn).copied() else { return };
+        if self.views[view].muted {
             return;
         }
-        while let Ok(Some(call)) = message::request(hub.input(conn)) {
-            hub.take(conn, call.length);
-            let query = call.path.split_once('?').map_or("", |(_, query)| query);
-            let field = |name: &str| {
+        while let Ok(Some(request)) = http_message::parse_request(event_loop.input(conn)) {
+            event_loop.consume(conn, request.length);
+            let query = request.path.split_once('?').map_or("", |(_, query)| query);
+            let query_number = |name: &str| {
                 let found = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
                 found.and_then(|value| value.parse::<u64>().ok())
             };
-            if std::mem::take(&mut self.sides[side].moved) {
-                self.count(hub);
+            if std::mem::take(&mut self.views[view].moved) {
+                self.record_pushed(event_loop);
             }
-            if !call.path.starts_with("/v1/endpoints") {
-                hub.write(conn, &message::write_answer(404, &[], b""));
+            if !request.path.starts_with("/v1/endpoints") {
+                event_loop.write(conn, &http_message::encode_response(404, &[], b""));
                 continue;
             }
-            let version = self.told_to(side, hub.now).0;
-            match (field("index"), field("wait")) {
+            let version = self.list_for(view, event_loop.now).0;
+            match (query_number("index"), query_number("wait")) {
                 (Some(from), Some(wait)) if from == version && wait > 0 => {
-                    self.calls += 1;
-                    self.waiting.insert(conn, (side, from, self.calls));
-                    hub.after(Micros::from_millis(wait.min(60_000) as i64), Due::Wait(conn, self.calls));
+                    self.watch_count += 1;
+                    self.watches.insert(conn, (view, from, self.watch_count));
+                    event_loop.schedule_after(
+                        Micros::from_millis(wait.min(60_000) as i64),
+                        TimerEvent::WatchTimeout(conn, self.watch_count),
+                    );
                 }
-                (from, _) => self.tell(hub, conn, side, from),
+                (from, _) => self.send_list(event_loop, conn, view, from),
             }
         }
     }
 
-    fn shut(&mut self, hub: &mut Loop, side: usize, reset: bool) {
-        let Some(listener) = self.sides[side].listener.take() else { return };
-        hub.conns_of(listener).into_iter().for_each(|conn| {
+    fn close_listener(&mut self, event_loop: &mut Loop, view: usize, reset: bool) {
+        let Some(listener) = self.views[view].listener.take() else { return };
+        event_loop.connections_of(listener).into_iter().for_each(|conn| {
             if reset {
-                hub.reset(conn);
+                event_loop.reset(conn);
             } else {
-                hub.close(conn);
+                event_loop.close(conn);
             }
-            self.conns.remove(&conn);
-            self.waiting.remove(&conn);
+            self.connections.remove(&conn);
+            self.watches.remove(&conn);
         });
-        hub.unlisten(listener);
+        event_loop.close_listener(listener);
     }
 
-    fn open(&mut self, hub: &mut Loop, side: usize) {
-        let to = self.sides[side].address;
-        match hub.listen(to) {
-            Ok(listener) => self.sides[side].listener = Some(listener),
-            Err(e) => hub.record(What::Note { text: format!("agent cannot listen on {to}: {e}") }),
+    fn open_listener(&mut self, event_loop: &mut Loop, view: usize) {
+        let to = self.views[view].address;
+        match event_loop.listen(to) {
+            Ok(listener) => self.views[view].listener = Some(listener),
+            Err(e) => {
+                event_loop.record(RecordKind::Note { text: format!("agent cannot listen on {to}: {e}") })
+            }
         }
     }
 
-    /// Takes up what came in while it was silent.
-    fn speak_again(&mut self, hub: &mut Loop, side: usize) {
-        let conns: Vec<_> = self.conns.iter().filter(|(_, of)| **of == side).map(|(conn, _)| *conn).collect();
-        conns.into_iter().for_each(|conn| self.calls_on(hub, conn));
-        self.tell_all(hub);
+    /// Handles the requests that came in while the agent was silent.
+    fn resume(&mut self, event_loop: &mut Loop, view: usize) {
+        let conns: Vec<_> =
+            self.connections.iter().filter(|(_, of)| **of == view).map(|(conn, _)| *conn).collect();
+        conns.into_iter().for_each(|conn| self.handle_requests(event_loop, conn));
+        self.notify_watches(event_loop);
     }
 }
 
-impl Part for Agent {
-    type Due = Due;
+impl Component for Agent {
+    type TimerEvent = TimerEvent;
     type Command = Command;
 
-    fn start(&mut self, hub: &mut Loop) -> io::Result<()> {
+    fn start(&mut self, event_loop: &mut Loop) -> io::Result<()> {
         for (name, address) in self.spec.listen.clone() {
-            let listener = Some(hub.listen(address)?);
-            let (mute, frozen, behind, delay, cut, moved) = Default::default();
-            let had = self.entries.values().map(|entry| (entry.host.clone(), entry.health.clone())).collect();
-            self.sides.push(Side { name, listener, mute, frozen, behind, delay, address, cut, moved, had });
+            let listener = Some(event_loop.listen(address)?);
+            let (muted, frozen_list, list_delay, response_delay, disconnected, moved) = Default::default();
+            let known_health =
+                self.entries.values().map(|entry| (entry.host.clone(), entry.health.clone())).collect();
+            self.views.push(ProxyView {
+                name,
+                listener,
+                muted,
+                frozen_list,
+                list_delay,
+                response_delay,
+                address,
+                disconnected,
+                moved,
+                known_health,
+            });
         }
         Ok(())
     }
 
-    fn accepted(&mut self, _hub: &mut Loop, on: ListenerId, conn: ConnId) {
-        if let Some(side) = self.sides.iter().position(|side| side.listener == Some(on)) {
-            self.conns.insert(conn, side);
+    fn on_accept(&mut self, _event_loop: &mut Loop, listener: ListenerId, conn: ConnId) {
+        if let Some(view) = self.views.iter().position(|view| view.listener == Some(listener)) {
+            self.connections.insert(conn, view);
         }
     }
 
-    fn read(&mut self, hub: &mut Loop, conn: ConnId) {
-        self.calls_on(hub, conn);
+    fn on_data(&mut self, event_loop: &mut Loop, conn: ConnId) {
+        self.handle_requests(event_loop, conn);
     }
 
-    fn gone(&mut self, hub: &mut Loop, conn: ConnId, _how: Gone) {
-        hub.close(conn);
-        self.conns.remove(&conn);
-        self.waiting.remove(&conn);
+    fn on_close(&mut self, event_loop: &mut Loop, conn: ConnId, _how: ConnectionEnd) {
+        event_loop.close(conn);
+        self.connections.remove(&conn);
+        self.watches.remove(&conn);
     }
 
-    fn due(&mut self, hub: &mut Loop, due: Due) {
-        match due {
-            Due::Set(entry) => self.set(hub, entry),
-            Due::Answer(conn, answer, hosts, version) => self.answer(hub, conn, answer, hosts, version),
-            Due::Look => self.tell_all(hub),
-            Due::Wait(conn, call) => {
-                let found =
-                    self.waiting.get(&conn).filter(|(side, _, c)| *c == call && !self.sides[*side].mute);
-                if let Some((side, from, _)) = found.copied() {
-                    self.waiting.remove(&conn);
-                    self.tell(hub, conn, side, Some(from));
+    fn on_timer(&mut self, event_loop: &mut Loop, event: TimerEvent) {
+        match event {
+            TimerEvent::Apply(entry) => self.apply(event_loop, entry),
+            TimerEvent::SendResponse(conn, response, hosts, version) => {
+                self.write_list(event_loop, conn, response, hosts, version)
+            }
+            TimerEvent::NotifyWatches => self.notify_watches(event_loop),
+            TimerEvent::WatchTimeout(conn, watch) => {
+                let found = self
+                    .watches
+                    .get(&conn)
+                    .filter(|(view, _, number)| *number == watch && !self.views[*view].muted);
+                if let Some((view, from, _)) = found.copied() {
+                    self.watches.remove(&conn);
+                    self.send_list(event_loop, conn, view, Some(from));
                 }
             }
         }
     }
 
-    fn command(&mut self, hub: &mut Loop, command: Command) {
+    fn on_command(&mut self, event_loop: &mut Loop, command: Command) {
         match command {
             Command::Set(entry) => {
                 let lag = self.spec.lag;
-                hub.after(lag, Due::Set(entry));
+                event_loop.schedule_after(lag, TimerEvent::Apply(entry));
             }
             Command::Mute { proxy, on } => {
-                self.sides[proxy].mute = on;
-                self.speak_again(hub, proxy);
+                self.views[proxy].muted = on;
+                self.resume(event_loop, proxy);
             }
             Command::Stale { proxy, on } => {
                 let now = (self.version, self.entries.values().cloned().collect());
-                self.sides[proxy].frozen = on.then_some(now);
-                self.speak_again(hub, proxy);
+                self.views[proxy].frozen_list = on.then_some(now);
+                self.resume(event_loop, proxy);
             }
             Command::JumpBack { by } => {
-                // As after the loss of its memory: fewer versions than before, all of them new.
+                // As after a loss of its state: the version is lower, and the changes since older ones are
+                // unknown.
                 self.version = self.version.saturating_sub(by);
                 self.changes.clear();
                 self.version = self.version.min(999);
-                self.note(hub.now);
-                self.tell_all(hub);
+                self.record_version(event_loop.now);
+                self.notify_watches(event_loop);
             }
             Command::Cut { proxy, on } => {
-                self.sides[proxy].cut = on;
+                self.views[proxy].disconnected = on;
                 if on {
-                    self.shut(hub, proxy, true);
+                    self.close_listener(event_loop, proxy, true);
                 } else {
-                    self.open(hub, proxy);
-                    self.count(hub);
+                    self.open_listener(event_loop, proxy);
+                    self.record_pushed(event_loop);
                 }
             }
             Command::Behind { proxy, by } => {
-                self.sides[proxy].behind = by;
-                self.tell_all(hub);
+                self.views[proxy].list_delay = by;
+                self.notify_watches(event_loop);
             }
-            Command::Delay { proxy, by } => self.sides[proxy].delay = by,
+            Command::Delay { proxy, by } => self.views[proxy].response_delay = by,
             Command::Move { proxy, to } => {
-                (self.sides[proxy].address, self.sides[proxy].moved) = (to, true);
-                self.shut(hub, proxy, false);
-                if !self.sides[proxy].cut {
-                    self.open(hub, proxy);
+                (self.views[proxy].address, self.views[proxy].moved) = (to, true);
+                self.close_listener(event_loop, proxy, false);
+                if !self.views[proxy].disconnected {
+                    self.open_listener(event_loop, proxy);
                 }
             }
         }
     }
 }
 
-/// Unix time in milliseconds of a point on the lab's clock.
+/// Converts a time on the lab's clock to Unix time in milliseconds.
 pub fn unix_ms(at: At) -> f64 {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     unix.as_secs_f64() * 1000.0 - (At::now().0 - at.0) as f64 / 1000.0
--- a/crates/lab/src/clock.rs
+++ b/crates/lab/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of a run. CLOCK_MONOTONIC reads the same in every process of a machine, so records of parts
+//! The clock of a run. CLOCK_MONOTONIC reads the same in all processes of a machine, so records of components
 //! in different processes can be put in one order.
 
 use std::fmt;
@@ -92,7 +92,7 @@
 impl std::str::FromStr for Micros {
     type Err = String;
     fn from_str(text: &str) -> Result<Micros, String> {
-        sparlug_setup::native::span(text).map(|span| Micros::from_ms(span.ms()))
+        sparlug_setup::native::parse_span(text).map(|span| Micros::from_ms(span.ms()))
     }
 }
 
--- a/crates/lab/src/configuration.rs
+++ b/crates/lab/src/configuration.rs
@@ -1,31 +1,31 @@
-//! The configuration that a proxy finds in its file, in the platform's form.
+//! Writes a proxy's configuration file, in the platform's JSON format or in the native TOML format.
 
 use std::net::SocketAddr;
 
 use serde_json::json;
 
-use crate::agent::Entry;
+use crate::agent::BackendEntry;
 use crate::clock::Micros;
 use crate::deployment::zone;
 use crate::scenario::{Effect, Group, Scenario};
 
-/// What one proxy is told beside what all of its tier are.
-pub struct Told<'a> {
+/// Settings of one proxy, beside those that its whole tier shares.
+pub struct ProxySettings<'a> {
     pub name: &'a str,
     pub listen: SocketAddr,
     pub agent: SocketAddr,
     pub seed: u64,
-    pub known: Option<Vec<Entry>>,
-    /// How many proxies there are, as the file has it.
+    pub known: Option<Vec<BackendEntry>>,
+    /// Number of proxies in the tier that the file states.
     pub balancers: usize,
-    /// Where they tell each other things, its own place among them.
+    /// Addresses for messages between the proxies, its own included.
     pub peers: Vec<SocketAddr>,
-    /// Where operators call, and what it is told of the fleet, in the project's own form.
+    /// Address for operators; only the native format has it and `fleet`.
     pub management: SocketAddr,
-    pub fleet: Option<FleetTold>,
+    pub fleet: Option<FleetSettings>,
 }
 
-pub struct FleetTold {
+pub struct FleetSettings {
     pub address: SocketAddr,
     pub advertise: SocketAddr,
     pub seeds: Vec<SocketAddr>,
@@ -35,32 +35,32 @@
     pub voters: Vec<SocketAddr>,
 }
 
-/// The same in the project's own form, which has no list from before.
-pub fn native(scenario: &Scenario, tier: usize, n: usize, told: &Told) -> String {
+/// The configuration in the native format, which holds no earlier list of backends.
+pub fn native(scenario: &Scenario, tier: usize, n: usize, settings: &ProxySettings) -> String {
     let t = &scenario.tiers[tier];
     let zones: Vec<String> = (0..t.zones).map(zone).collect();
     let mut text = format!(
         "name = {:?}\nseed = \"{:x}\"\n[[listener]]\naddress = \"{}\"\n[management]\naddress = \"{}\"\n\
          [limits]\nsockets = {}\n[discovery]\nagent = \"{}\"\n\
          [tier]\nabove = {tier}\nproxies = {}\nordinal = {n}\nzones = {zones:?}\nzone = {:?}\n",
-        told.name,
-        told.seed,
-        told.listen,
-        told.management,
+        settings.name,
+        settings.seed,
+        settings.listen,
+        settings.management,
         t.sockets,
-        told.agent,
-        told.balancers,
+        settings.agent,
+        settings.balancers,
         zone(n % t.zones),
     );
     text += &format!(
         "[backends]\ndial = \"{}\"\nidle = \"{}\"\nmost_forwards = {}\nreports = {}\ncold_share = {:?}\n\
          warm_up = \"{}\"\ncold_multiple = {:?}\ncold_window = \"{}\"\n",
-        t.dial, t.idle, t.max_forwards, t.reports, t.cold_share, t.cold_ramp, t.fall_multiple, t.fall_window
+        t.dial, t.idle, t.max_attempts, t.reports, t.cold_share, t.cold_ramp, t.fall_multiple, t.fall_window
     );
-    if let Some(most) = t.max_retry_after {
-        text += &format!("[answers]\nlongest_retry_after = \"{most}\"\n");
+    if let Some(max_retry_after) = t.max_retry_after {
+        text += &format!("[answers]\nlongest_retry_after = \"{max_retry_after}\"\n");
     }
-    if let Some(fleet) = &told.fleet {
+    if let Some(fleet) = &settings.fleet {
         let seeds: Vec<String> = fleet.seeds.iter().map(SocketAddr::to_string).collect();
         text += &format!(
             "[fleet]\nname = \"lab\"\naddress = \"{}\"\nadvertise = \"{}\"\nseeds = {seeds:?}\n",
@@ -77,13 +77,13 @@
     }
     for class in &scenario.classes {
         let effect = match class.effect {
-            Effect::Reissuable => "reissuable",
-            Effect::Numbered => "numbered",
+            Effect::Safe => "reissuable",
+            Effect::Keyed => "numbered",
             Effect::AtMostOnce => "at-most-once",
         };
         text += &format!(
             "[tariff.{:?}]\ngoal = \"{}\"\ncut_off = \"{}\"\nvalue = {:?}\neffect = \"{effect}\"\n",
-            class.name, class.goal, class.cut_off, class.value
+            class.name, class.latency_target, class.deadline, class.value
         );
         if let (Some(group), Some(window)) = (class.group, class.window) {
             let group = match group {
@@ -97,12 +97,13 @@
     text
 }
 
-pub fn platform(scenario: &Scenario, tier: usize, n: usize, told: &Told) -> String {
+/// The configuration in the platform's format.
+pub fn platform(scenario: &Scenario, tier: usize, n: usize, settings: &ProxySettings) -> String {
     let t = &scenario.tiers[tier];
     let classes = scenario.classes.iter().map(|class| {
         let effect = match class.effect {
-            Effect::Reissuable => "pure",
-            Effect::Numbered => "token",
+            Effect::Safe => "pure",
+            Effect::Keyed => "token",
             Effect::AtMostOnce => "side_effect",
         };
         let group = class.group.map(|group| match group {
@@ -112,25 +113,25 @@
         });
         json!({
             "group": group, "windowMs": class.window.map(Micros::ms),
-            "name": class.name, "latencyGoalMs": class.goal.ms(), "cutOffMs": class.cut_off.ms(),
+            "name": class.name, "latencyGoalMs": class.latency_target.ms(), "cutOffMs": class.deadline.ms(),
             "value": class.value, "effect": effect,
         })
     });
     let columns = if t.reports { vec!["busy_reqs", "pending"] } else { vec![] };
-    let known = told.known.as_ref().map(|hosts| json!({ "seq": 1000, "whole": true, "hosts": hosts }));
+    let known = settings.known.as_ref().map(|hosts| json!({ "seq": 1000, "whole": true, "hosts": hosts }));
     let config = json!({
-        "name": told.name, "listen": told.listen, "discovery": told.agent,
-        "seed": format!("{:x}", told.seed),
+        "name": settings.name, "listen": settings.listen, "discovery": settings.agent,
+        "seed": format!("{:x}", settings.seed),
         "limits": { "cores": 1.0, "memory_mb": 192, "sockets": t.sockets },
         "known": known,
         "settings": {
-            "tier": tier, "balancers": told.balancers, "ordinal": n, "roundMs": 1.0,
+            "tier": tier, "balancers": settings.balancers, "ordinal": n, "roundMs": 1.0,
             "discovery": "pushed", "tariffs": classes.collect::<Vec<_>>(),
             "zones": (0..t.zones).map(zone).collect::<Vec<_>>(), "locality": n % t.zones,
             "report": { "how": if t.reports { "answers" } else { "none" }, "columns": columns },
-            "peerAddresses": told.peers,
+            "peerAddresses": settings.peers,
             "allowed": {
-                "maxForwards": t.max_forwards, "cancelling": true, "probes": true, "peers": !told.peers.is_empty(),
+                "maxForwards": t.max_attempts, "cancelling": true, "probes": true, "peers": !settings.peers.is_empty(),
                 "retryAfter": t.max_retry_after.is_some(),
                 "maxRetryAfterMs": t.max_retry_after.map_or(0.0, Micros::ms),
                 "connIdleMs": t.idle.ms(), "dialTimeoutMs": t.dial.ms(),
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! A scenario's variants and seeds, run paired and interleaved, and what comes of them together.
+//! Runs a scenario's variants with each seed, paired and interleaved, and combines their results.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
@@ -7,50 +7,50 @@
 use serde::{Deserialize, Serialize};
 
 use crate::figures::Figures;
-use crate::ledger::{self, Verdict};
-use crate::outcome::{self, Slice};
+use crate::rules::{self, Verdict};
+use crate::run::{self, CompletedRun, Failure};
+use crate::run_figures::{self, Slice};
 use crate::scenario::{Scenario, Variant};
-use crate::source::Source;
-use crate::world::{self, Failure, Ran};
-use crate::{plan, record};
+use crate::scenario_file::ScenarioFile;
+use crate::{arrivals, record};
 
-/// Of the JSON results; goes up when a field changes its meaning.
+/// Version of the JSON results' schema; increases when a field changes its meaning.
 pub const SCHEMA: u32 = 1;
 
-pub struct Plan {
-    pub source: Source,
+pub struct Experiment {
+    pub source: ScenarioFile,
     pub seed: Option<u64>,
     pub seeds: u64,
     pub short: bool,
     pub program: PathBuf,
-    /// Where records stay; without it they go with the run.
+    /// The folder that keeps the records; without it they are deleted after the run.
     pub out: Option<PathBuf>,
     pub stop: Arc<AtomicBool>,
 }
 
 /// One run of one variant.
-pub struct Run {
+pub struct RunOutcome {
     pub variant: String,
     pub seed: u64,
     pub lawless: bool,
     pub plan: String,
     pub scenario: Scenario,
-    pub ran: Ran,
+    pub ran: CompletedRun,
     pub figures: Figures,
     pub verdict: Verdict,
     pub series: Vec<Slice>,
     pub missed: Vec<String>,
-    /// The breaches' timelines, as they are printed.
+    /// The printed timelines of the breaches.
     pub timelines: Vec<String>,
 }
 
-/// A ratio between two variants over all seeds.
+/// The ratio of a figure between two variants over all seeds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ratio {
     pub figure: String,
     pub of: String,
     pub to: String,
-    /// The median over the seeds, and how far they spread.
+    /// The median, minimum and maximum over the seeds.
     pub ratio: f64,
     pub least: f64,
     pub most: f64,
@@ -62,7 +62,7 @@
     pub variant: String,
     pub seed: u64,
     pub lawless: bool,
-    /// Of all arrivals and faults that were planned.
+    /// A hash of all planned arrivals and faults.
     pub plan: String,
     pub rules_broken: usize,
     pub breaches: Vec<String>,
@@ -71,14 +71,14 @@
     pub crossed: usize,
     pub late_p99_us: i64,
     pub late_max_us: i64,
-    /// The machine was too busy for times to be judged.
+    /// The machine was too busy for time checks to be reliable.
     pub unsure: bool,
-    /// Why the run tells nothing, if so.
+    /// Why the run is invalid, if it is.
     #[serde(default)]
     pub void: Option<String>,
     pub missed: Vec<String>,
     pub figures: Figures,
-    /// The run in slices of equal length.
+    /// Counts over time, in slices of equal length.
     #[serde(default)]
     pub series: Vec<Slice>,
 }
@@ -88,11 +88,11 @@
     pub schema: u32,
     pub scenario: String,
     pub lasts_s: f64,
-    /// Of all runs whose rules are judged.
+    /// Total over all runs whose rules count.
     pub rules_broken: usize,
     pub bounds_missed: usize,
     pub unsure: bool,
-    /// A run whose ways between proxies were late themselves tells nothing.
+    /// Whether a run was invalid since its simulated network between proxies was late itself.
     #[serde(default)]
     pub void: bool,
     pub runs: Vec<RunResult>,
@@ -100,7 +100,7 @@
 }
 
 impl Results {
-    /// The exit status that they come to.
+    /// The exit status of the command.
     pub fn status(&self) -> u8 {
         match self {
             r if r.void => 1,
@@ -112,11 +112,11 @@
     }
 }
 
-impl Plan {
-    /// Checks all that can be checked before anything is started.
+impl Experiment {
+    /// Resolves all variants, which validates the input before any process starts.
     pub fn variants(&self) -> Result<Vec<(Variant, Scenario)>, String> {
         let base = self.source.scenario(None, self.short)?;
-        let plain = Variant::plain();
+        let plain = Variant::unchanged();
         let mut variants = if base.variants.is_empty() { vec![plain] } else { base.variants.clone() };
         for (key, values) in &base.matrix {
             let with = |variant: &Variant, value: &toml::Value| {
@@ -134,22 +134,24 @@
         variants.into_iter().map(with).collect()
     }
 
-    /// Runs all; `progress` is told how many runs are done, of how many, and what part of the present one.
-    pub fn run(&self, progress: &mut dyn FnMut(usize, usize, f64, &str)) -> Result<Vec<Run>, Failure> {
-        let variants = self.variants().map_err(Failure::Unusable)?;
+    /// Runs all variants and seeds; `progress` gets the number of completed runs, the total, the completed
+    /// part of the current run and its variant.
+    pub fn run(&self, progress: &mut dyn FnMut(usize, usize, f64, &str)) -> Result<Vec<RunOutcome>, Failure> {
+        let variants = self.variants().map_err(Failure::InvalidInput)?;
         let first = self.seed.unwrap_or_else(|| variants.first().map_or(1, |(_, scenario)| scenario.seed));
         let total = variants.len() * self.seeds as usize;
-        let scratch = Scratch::new(self.out.as_deref()).map_err(Failure::CouldNot)?;
+        let scratch = Scratch::new(self.out.as_deref()).map_err(Failure::Environment)?;
         let mut runs = Vec::new();
         for seed in first..first + self.seeds {
             for (variant, scenario) in &variants {
                 let done = runs.len();
-                let dir = world::dir_of(&scratch.dir, &variant.name, seed);
+                let dir = run::run_dir(&scratch.dir, &variant.name, seed);
                 let (program, stop) = (self.program.clone(), self.stop.clone());
-                let options = world::Options { program, dir, stop, front: None };
-                let mut told = |part: f64| progress(done, total, part, &variant.name);
-                let ran = world::run(scenario, seed, &options, &mut told)?;
-                let run = Run::of(variant, scenario.clone(), seed, ran).map_err(Failure::CouldNot)?;
+                let options = run::Options { program, dir, stop, front: None };
+                let mut report_part = |part: f64| progress(done, total, part, &variant.name);
+                let ran = run::run(scenario, seed, &options, &mut report_part)?;
+                let run =
+                    RunOutcome::of(variant, scenario.clone(), seed, ran).map_err(Failure::Environment)?;
                 runs.push(run);
                 if self.out.is_none() {
                     let _ = std::fs::remove_dir_all(&options.dir);
@@ -160,7 +162,7 @@
     }
 }
 
-/// A folder that goes when the runs are over, unless it was asked for.
+/// The folder of the runs, deleted at the end unless the user named it.
 struct Scratch {
     dir: PathBuf,
     keep: bool,
@@ -189,13 +191,18 @@
     }
 }
 
-impl Run {
-    pub fn of(variant: &Variant, scenario: Scenario, seed: u64, ran: Ran) -> Result<Run, String> {
-        let records = record::read(&world::records_of(&ran.dir))?;
-        let verdict = ledger::judge(&records, &scenario);
-        let figures = outcome::figures(&records, &scenario, ran.start);
+impl RunOutcome {
+    pub fn of(
+        variant: &Variant,
+        scenario: Scenario,
+        seed: u64,
+        ran: CompletedRun,
+    ) -> Result<RunOutcome, String> {
+        let records = record::read(&run::records_path(&ran.dir))?;
+        let verdict = rules::judge(&records, &scenario);
+        let figures = run_figures::figures(&records, &scenario, ran.start);
         let mut missed = figures.missed(&scenario.bounds);
-        let series = outcome::slices(&records, ran.start, ran.lasts);
+        let series = run_figures::slices(&records, ran.start, ran.duration);
         if figures.intents == 0 {
             missed.push("no intent was ever over: nothing was measured".to_string());
         }
@@ -204,22 +211,40 @@
             let at = (breach.at.0 - ran.start.0) as f64 / 1000.0;
             timelines.push(format!("rule broken: {}, at {at:.1} ms: {}", breach.rule.name(), breach.text));
             if let Some(id) = &breach.id {
-                let logs = logs_of(&ran.dir);
+                let logs = read_logs(&ran.dir);
                 timelines.extend(
-                    ledger::timeline(&records, id, ran.start, &logs).into_iter().map(|l| format!("    {l}")),
+                    rules::timeline(&records, id, ran.start, &logs).into_iter().map(|l| format!("    {l}")),
                 );
             }
         }
-        let (variant, lawless) = (variant.name.clone(), variant.lawless);
-        let faults = records.iter().filter_map(|record| match &record.what {
-            record::What::Fault { text, on, .. } => Some(format!("{text} {on}")),
+        let (variant, lawless) = (variant.name.clone(), variant.skip_rules);
+        let faults = records.iter().filter_map(|record| match &record.kind {
+            record::RecordKind::Fault { text, on, .. } => Some(format!("{text} {on}")),
             _ => None,
         });
-        // A closed loop's plan is its seed: what is taken of it depends on the answers.
-        let arrivals =
-            if scenario.load.closed > 0 { seed } else { plan::digest(&plan::intents(&scenario, seed)) };
-        let plan = format!("{arrivals:016x}-{:016x}", plan::mix(0, &faults.collect::<Vec<_>>().join(";")));
-        Ok(Run { variant, seed, lawless, plan, scenario, ran, figures, verdict, series, missed, timelines })
+        // For a closed loop, the seed identifies the plan: the requests sent depend on the responses.
+        let arrivals = if scenario.load.closed > 0 {
+            seed
+        } else {
+            arrivals::digest(&arrivals::intents(&scenario, seed))
+        };
+        let plan = format!(
+            "{arrivals:016x}-{:016x}",
+            arrivals::hash_with_seed(0, &faults.collect::<Vec<_>>().join(";"))
+        );
+        Ok(RunOutcome {
+            variant,
+            seed,
+            lawless,
+            plan,
+            scenario,
+            ran,
+            figures,
+            verdict,
+            series,
+            missed,
+            timelines,
+        })
     }
 
     fn result(&self) -> RunResult {
@@ -231,9 +256,9 @@
             plan: self.plan.clone(),
             rules_broken: v.breaches.len(),
             breaches: v.breaches.iter().take(50).map(|b| format!("{}: {}", b.rule.name(), b.text)).collect(),
-            taken: v.taken,
+            taken: v.accepted,
             excused: v.excused,
-            crossed: v.crossed,
+            crossed: v.close_races,
             late_p99_us: v.late_p99.0,
             late_max_us: v.late.0,
             unsure: v.unsure(),
@@ -245,7 +270,7 @@
     }
 }
 
-fn logs_of(dir: &Path) -> Vec<(String, String)> {
+fn read_logs(dir: &Path) -> Vec<(String, String)> {
     let files = std::fs::read_dir(dir).into_iter().flatten().flatten().map(|entry| entry.path());
     let logs = files.filter(|path| path.extension().is_some_and(|e| e == "log"));
     let read = |path: PathBuf| {
@@ -255,15 +280,15 @@
     logs.filter_map(read).collect()
 }
 
-/// Sums the runs up.
-pub fn results(runs: &[Run]) -> Results {
+/// Combines the runs into results.
+pub fn results(runs: &[RunOutcome]) -> Results {
     let scenario = runs.first().map(|run| &run.scenario);
     let of = |variant: &str, figure: &str| -> Vec<(u64, f64)> {
         let own = runs.iter().filter(|run| run.variant == variant);
         own.filter_map(|run| Some((run.seed, run.figures.get(figure)?))).collect()
     };
     let mut ratios = Vec::new();
-    for compare in scenario.iter().flat_map(|scenario| &scenario.compares) {
+    for compare in scenario.iter().flat_map(|scenario| &scenario.comparisons) {
         let (a, b) = (of(&compare.of, &compare.figure), of(&compare.to, &compare.figure));
         let mut all: Vec<f64> = Vec::new();
         for (seed, value) in a {
@@ -272,11 +297,11 @@
         }
         all.sort_by(f64::total_cmp);
         let ratio = all.get(all.len() / 2).copied().unwrap_or(f64::NAN);
-        let words = || format!("{} of {} to {} is {ratio:.3}", compare.figure, compare.of, compare.to);
+        let description = || format!("{} of {} to {} is {ratio:.3}", compare.figure, compare.of, compare.to);
         let high = compare.most.filter(|most| ratio > *most || ratio.is_nan());
         let low = compare.least.filter(|least| ratio < *least || ratio.is_nan());
-        let high = high.map(|most| format!("{}, wanted at most {most}", words()));
-        let missed = high.or_else(|| low.map(|least| format!("{}, wanted at least {least}", words())));
+        let high = high.map(|most| format!("{}, wanted at most {most}", description()));
+        let missed = high.or_else(|| low.map(|least| format!("{}, wanted at least {least}", description())));
         ratios.push(Ratio {
             figure: compare.figure.clone(),
             of: compare.of.clone(),
@@ -291,24 +316,24 @@
     Results {
         schema: SCHEMA,
         scenario: scenario.map(|scenario| scenario.name.clone()).unwrap_or_default(),
-        lasts_s: scenario.map_or(0.0, |scenario| scenario.lasts.secs()),
+        lasts_s: scenario.map_or(0.0, |scenario| scenario.duration.secs()),
         rules_broken: judged.map(|run| run.verdict.breaches.len()).sum(),
         bounds_missed: runs.iter().map(|run| run.missed.len()).sum::<usize>()
             + ratios.iter().filter(|ratio| ratio.missed.is_some()).count(),
         unsure: runs.iter().any(|run| run.verdict.unsure()),
         void: runs.iter().any(|run| run.verdict.void.is_some()),
-        runs: runs.iter().map(Run::result).collect(),
+        runs: runs.iter().map(RunOutcome::result).collect(),
         ratios,
     }
 }
 
-/// What many proxies came to together; nothing where nothing befell any of it.
+/// The table of fleet figures; empty if no run has any.
 fn fleet_table(results: &Results) -> String {
-    let told = |run: &&RunResult| {
+    let has_figures = |run: &&RunResult| {
         let f = &run.figures.fleet;
         f.dead_first > 0 || f.cold_most > 0.0 || f.back_s > 0.0 || f.talk_per_s > 0.0 || f.moved > 0.0
     };
-    if results.runs.iter().filter(told).count() == 0 {
+    if results.runs.iter().filter(has_figures).count() == 0 {
         return String::new();
     }
     let mut out = format!(
@@ -338,11 +363,11 @@
     out
 }
 
-/// What members saw of each other; nothing where nobody was asked.
+/// The lines on membership and duties; empty if no proxy was polled.
 fn members_table(results: &Results) -> String {
-    let asked = |run: &&RunResult| run.figures.fleet.shares_most > 0.0;
+    let was_polled = |run: &&RunResult| run.figures.fleet.shares_most > 0.0;
     let mut out = String::new();
-    for run in results.runs.iter().filter(asked) {
+    for run in results.runs.iter().filter(was_polled) {
         let f = &run.figures.fleet;
         out += &format!(
             "members, {} {}: a killed one gone after {:.1} s (most {:.1}), {} false deaths, all agree after {:.1} s, \
@@ -361,7 +386,7 @@
     out
 }
 
-/// The table at the end of a run.
+/// The summary table printed after the runs.
 pub fn table(results: &Results) -> String {
     let mut out = format!(
         "{:<14} {:>6} {:>8} {:>9} {:>9} {:>8} {:>8} {:>8} {:>7} {:>7} {:>6}\n",
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -1,17 +1,17 @@
-//! Schedules of faults, drawn from what a scenario allows; the same for the same seed.
+//! Draws schedules of faults from the ranges of a scenario; the same seed gives the same schedule.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::clock::Micros;
-use crate::range::Range;
-use crate::scenario::{Balance, Direction, Fault, FaultKind, Known, Scenario};
+use crate::fault_range::FaultRange;
+use crate::scenario::{Balance, Direction, Fault, FaultKind, KnownBackends, Scenario};
 
-const FEWEST_MOST: [usize; 2] = [1, 4]; // faults of a schedule, unless the file says
-const SHORTEST: Micros = Micros::from_millis(200);
-const ROUND: f64 = 10_000.0; // us, to which times are rounded so that people can read them
+const DEFAULT_FAULT_COUNTS: [usize; 2] = [1, 4]; // minimum and maximum per schedule
+const MIN_FAULT_DURATION: Micros = Micros::from_millis(200);
+const ROUNDING_US: f64 = 10_000.0; // times are rounded to 10 ms to be readable
 
-/// An error says which of the kinds is wrong, if one is.
+/// Checks the search's settings; an error names the index of the wrong kind, if it is about one.
 pub fn check(scenario: &Scenario) -> Result<(), (Option<usize>, String)> {
     if let Some([fewest, most]) = scenario.hunt.faults.filter(|[fewest, most]| *fewest == 0 || fewest > most)
     {
@@ -27,20 +27,20 @@
         }
         for part in &range.parts {
             let sides = matches!(range.kind, FaultKind::Partition | FaultKind::Bridge);
-            let letters = if sides { "w" } else { range.kind.letters() };
-            match scenario.parts(part).first() {
+            let letters = if sides { "w" } else { range.kind.component_kinds() };
+            match scenario.components(part).first() {
                 Some((_, letter, _)) if letters.contains(*letter) => {}
                 Some(_) => return fail(format!("parts: {part:?}: wanted the kind {letters:?}")),
-                // A stand-in has no agent: what would befall one is not drawn.
+                // A stand-in has no agent, so faults of agents are not drawn.
                 None if part.contains("/a-")
                     && scenario.tiers.iter().any(|tier| tier.balance != Balance::Sparlug) => {}
                 None => {
-                    let parts = scenario.part_kinds().join(", ");
+                    let parts = scenario.component_ranges().join(", ");
                     return fail(format!("parts: there is no {part:?}; there are {parts}"));
                 }
             }
         }
-        let spans = [range.at, range.lasts];
+        let spans = [range.at, range.duration];
         if spans.iter().flatten().any(|[from, to]| from > to) {
             return fail("at and for: wanted the least before the most".to_string());
         }
@@ -54,12 +54,13 @@
     Ok(())
 }
 
-/// The kinds that are drawn over a deployment.
-fn ranges(scenario: &Scenario) -> Vec<Range> {
+/// The kinds to draw from: those of the file, or all that can affect the deployment's components.
+fn fault_ranges(scenario: &Scenario) -> Vec<FaultRange> {
     use FaultKind::*;
     if !scenario.hunt.ranges.is_empty() {
-        let there = |range: &&Range| range.parts.iter().any(|part| !scenario.parts(part).is_empty());
-        return scenario.hunt.ranges.iter().filter(there).cloned().collect();
+        let has_components =
+            |range: &&FaultRange| range.parts.iter().any(|part| !scenario.components(part).is_empty());
+        return scenario.hunt.ranges.iter().filter(has_components).cloned().collect();
     }
     let mut all = Vec::new();
     for tier in &scenario.tiers {
@@ -72,67 +73,68 @@
         };
         for letter in "spalcw".chars() {
             let part = format!("{}/{letter}-*", tier.name);
-            if !scenario.parts(&part).is_empty() {
-                all.extend(of(letter).iter().map(|kind| Range::of(*kind, part.clone())));
+            if !scenario.components(&part).is_empty() {
+                all.extend(of(letter).iter().map(|kind| FaultRange::of(*kind, part.clone())));
             }
         }
     }
     all
 }
 
-/// A schedule, the same for the same seed.
-pub fn draw(scenario: &Scenario, seed: u64) -> Vec<Fault> {
+/// Draws a schedule, the same for the same seed.
+pub fn draw_schedule(scenario: &Scenario, seed: u64) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x4a07);
-    let ranges = ranges(scenario);
-    let [fewest, most] = scenario.hunt.faults.unwrap_or(FEWEST_MOST);
+    let ranges = fault_ranges(scenario);
+    let [fewest, most] = scenario.hunt.faults.unwrap_or(DEFAULT_FAULT_COUNTS);
     let weights: f64 = ranges.iter().map(|range| range.weight).sum();
-    let one = |_| {
-        let mut left = rng.random::<f64>() * weights;
+    let fault = |_| {
+        let mut remaining = rng.random::<f64>() * weights;
         let range = ranges.iter().find(|range| {
-            left -= range.weight;
-            left < 0.0
+            remaining -= range.weight;
+            remaining < 0.0
         });
         let range = range.or(ranges.last())?;
-        Some(draw_one(range, scenario, &mut rng))
+        Some(draw_fault(range, scenario, &mut rng))
     };
     let count = ChaCha8Rng::seed_from_u64(seed).random_range(fewest..=most);
-    let mut faults: Vec<Fault> = (0..count).filter_map(one).collect();
+    let mut faults: Vec<Fault> = (0..count).filter_map(fault).collect();
     faults.retain(|fault| scenario.check_fault(fault).is_ok());
     faults.sort_by_key(|fault| fault.at);
     faults
 }
 
-fn between(rng: &mut ChaCha8Rng, [from, to]: [f64; 2]) -> f64 {
+fn draw_between(rng: &mut ChaCha8Rng, [from, to]: [f64; 2]) -> f64 {
     from + (to - from) * rng.random::<f64>()
 }
 
-fn span(rng: &mut ChaCha8Rng, [from, to]: [Micros; 2]) -> Micros {
-    let drawn = between(rng, [from.0 as f64, to.0 as f64]);
-    Micros(((drawn / ROUND).round() * ROUND) as i64)
+fn draw_span(rng: &mut ChaCha8Rng, [from, to]: [Micros; 2]) -> Micros {
+    let drawn = draw_between(rng, [from.0 as f64, to.0 as f64]);
+    Micros(((drawn / ROUNDING_US).round() * ROUNDING_US) as i64)
 }
 
-fn draw_one(range: &Range, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
-    let lasts = scenario.lasts;
-    let at = span(rng, range.at.unwrap_or([lasts.scaled(0.05), lasts.scaled(0.7)]));
-    let most = lasts.scaled(0.4).max(SHORTEST);
-    let length = span(rng, range.lasts.unwrap_or([SHORTEST, most]));
+fn draw_fault(range: &FaultRange, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
+    let duration = scenario.duration;
+    let at = draw_span(rng, range.at.unwrap_or([duration.scaled(0.05), duration.scaled(0.7)]));
+    let max_duration = duration.scaled(0.4).max(MIN_FAULT_DURATION);
+    let length = draw_span(rng, range.duration.unwrap_or([MIN_FAULT_DURATION, max_duration]));
     let place = rng.random_range(0..range.parts.len().max(1));
-    let found = range.parts.get(place).map(|part| scenario.parts(part)).unwrap_or_default();
+    let found = range.parts.get(place).map(|part| scenario.components(part)).unwrap_or_default();
     let (tier, letter, n) = match found.len() {
         0 => (0, 's', 0),
         count => found[rng.random_range(0..count)],
     };
     let name = |letter: char, n: usize| format!("{}/{letter}-{n}", scenario.tiers[tier].name);
-    let mut fault = Fault { at, kind: range.kind, times: 1, lasts: Some(length), ..Fault::default() };
+    let mut fault = Fault { at, kind: range.kind, times: 1, duration: Some(length), ..Fault::default() };
     if range.kind == FaultKind::Grow || range.kind == FaultKind::Shrink {
-        fault.lasts = range.lasts.map(|_| length);
+        fault.duration = range.duration.map(|_| length);
     }
     fault.part = name(letter, n);
     let rounded = |value: f64| (value * 100.0).round() / 100.0;
-    fault.amount = range.amounts(letter).map(|range| rounded(between(rng, range)));
-    fault.chance = range.chances().map(|range| rounded(between(rng, range)));
+    fault.amount = range.amounts(letter).map(|range| rounded(draw_between(rng, range)));
+    fault.chance = range.chances().map(|range| rounded(draw_between(rng, range)));
     if matches!(range.kind, FaultKind::Restart | FaultKind::Kill | FaultKind::Term) {
-        fault.known = [Known::Old, Known::Old, Known::None, Known::Now][rng.random_range(0..4)];
+        fault.known = [KnownBackends::Old, KnownBackends::Old, KnownBackends::None, KnownBackends::Now]
+            [rng.random_range(0..4)];
     }
     fault.stays = range.kind == FaultKind::Drain && rng.random::<f64>() < 0.75;
     if letter == 'w' {
--- a/crates/lab/src/source.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -1,43 +1,45 @@
-//! A scenario's file: read, changed by the command line or a variant, and checked with the line of what is wrong.
+//! Reads a scenario file, applies changes from the command line or a variant, and reports errors with their
+//! line.
 
 use std::path::{Path, PathBuf};
 
 use toml::{Table, Value};
 
 use crate::clock::Micros;
-use crate::draw;
+use crate::fault_schedule;
 use crate::figures::Figures;
+use crate::run::MAX_COMPONENTS_PER_KIND;
 use crate::scenario::{Balance, Effect, Fault, Scenario, Variant};
-use crate::world::PARTS_MOST;
 
-/// A file with what is to be changed in it.
+/// A scenario file with the changes that were set.
 #[derive(Clone)]
-pub struct Source {
+pub struct ScenarioFile {
     pub path: PathBuf,
     text: String,
     table: Table,
 }
 
-impl Source {
-    pub fn read(path: &Path) -> Result<Source, String> {
+impl ScenarioFile {
+    pub fn read(path: &Path) -> Result<ScenarioFile, String> {
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-        Source::of(path, text)
+        ScenarioFile::of(path, text)
     }
 
-    pub fn of(path: &Path, text: String) -> Result<Source, String> {
+    pub fn of(path: &Path, text: String) -> Result<ScenarioFile, String> {
         let at = |e: toml::de::Error| {
             let line = e.span().map_or(1, |span| text[..span.start].matches('\n').count() + 1);
             format!("{}:{line}: {}", path.display(), e.message().replace('\n', " "))
         };
-        // Once as it stands: guards against an unknown field being told without its line.
+        // Parsed as text first: an unknown field in a parsed table would be reported without its line.
         toml::from_str::<Scenario>(&text).map_err(at)?;
         let table = toml::from_str(&text).map_err(at)?;
-        Ok(Source { path: path.to_path_buf(), text, table })
+        Ok(ScenarioFile { path: path.to_path_buf(), text, table })
     }
 
-    /// The same deployment with other faults alone, for one seed, and nothing to be set beside it.
-    pub fn with_faults(&self, faults: &[Fault], seed: u64, lasts: Micros) -> Result<Source, String> {
+    /// The same deployment with only these faults and this seed, without variants, comparisons, matrix and
+    /// search.
+    pub fn with_faults(&self, faults: &[Fault], seed: u64, duration: Micros) -> Result<ScenarioFile, String> {
         let mut source = self.clone();
         let list: Result<Vec<Value>, _> = faults.iter().map(Value::try_from).collect();
         let list = list.map_err(|e| format!("a fault cannot be written: {e}"))?;
@@ -47,7 +49,7 @@
         source.table.insert("fault".to_string(), Value::Array(list));
         source.table.insert("seed".to_string(), Value::Integer(seed as i64));
         for field in ["lasts", "short"] {
-            source.table.insert(field.to_string(), Value::String(lasts.to_string()));
+            source.table.insert(field.to_string(), Value::String(duration.to_string()));
         }
         source.text = toml::to_string(&source.table).map_err(|e| format!("cannot be written: {e}"))?;
         Ok(source)
@@ -57,7 +59,7 @@
         &self.text
     }
 
-    /// Sets `a.b.0.c=value`; what is no TOML value is taken for text.
+    /// Sets `a.b.0.c=value`; a value that is not valid TOML is taken as a string.
     pub fn set(&mut self, assignment: &str) -> Result<(), String> {
         let (key, text) =
             assignment.split_once('=').ok_or_else(|| format!("--set {assignment}: wanted KEY=VALUE"))?;
@@ -68,7 +70,7 @@
         set(&mut self.table, key, value).map_err(|e| format!("--set {assignment}: {e}"))
     }
 
-    /// The scenario with a variant's changes.
+    /// The checked scenario with a variant's changes, scaled down if `short`.
     pub fn scenario(&self, variant: Option<&Variant>, short: bool) -> Result<Scenario, String> {
         let mut table = self.table.clone();
         let named = |e: String| match variant {
@@ -85,12 +87,12 @@
         }
         self.check(&scenario)?;
         if short {
-            scenario.draw_together(scenario.short.secs() / scenario.lasts.secs());
+            scenario.scale_times(scenario.short.secs() / scenario.duration.secs());
         }
         Ok(scenario)
     }
 
-    /// The line of the n-th table of an array.
+    /// Line number of the n-th table of an array.
     fn line_of(&self, header: &str, n: usize) -> usize {
         let mut found = self.text.lines().enumerate().filter(|(_, line)| line.trim() == header);
         found.nth(n).map_or(1, |(number, _)| number + 1)
@@ -98,7 +100,9 @@
 
     fn check(&self, scenario: &Scenario) -> Result<(), String> {
         let path = self.path.display();
-        if scenario.lasts == Micros::ZERO || scenario.short == Micros::ZERO || scenario.short > scenario.lasts
+        if scenario.duration == Micros::ZERO
+            || scenario.short == Micros::ZERO
+            || scenario.short > scenario.duration
         {
             return Err(format!("{path}: lasts and short: wanted spans above 0, short no longer than lasts"));
         }
@@ -108,10 +112,10 @@
         if (scenario.load.rate > 0.0) == (scenario.load.closed > 0) {
             return Err(format!("{path}: [load]: wanted one of rate and closed, above 0"));
         }
-        if scenario.callers.idle > 18_500 {
+        if scenario.client_behavior.idle > 18_500 {
             return Err(format!("{path}: [callers] idle: wanted at most 18500, for want of descriptors"));
         }
-        if scenario.load.callers == 0 {
+        if scenario.load.clients == 0 {
             return Err(format!("{path}: [load] callers: wanted at least 1"));
         }
         for (n, tier) in scenario.tiers.iter().enumerate() {
@@ -119,8 +123,8 @@
             let last = n + 1 == scenario.tiers.len();
             let why = match tier {
                 t if t.name.is_empty() || t.name.contains(['/', ' ']) => "name: wanted a word",
-                t if !(1..=PARTS_MOST).contains(&t.backends) => "backends: wanted 1 to 1249",
-                t if !(1..=PARTS_MOST).contains(&t.proxies) => "proxies: wanted 1 to 1249",
+                t if !(1..=MAX_COMPONENTS_PER_KIND).contains(&t.backends) => "backends: wanted 1 to 1249",
+                t if !(1..=MAX_COMPONENTS_PER_KIND).contains(&t.proxies) => "proxies: wanted 1 to 1249",
                 t if t.sizes.iter().any(|size| !(0.1..=10.0).contains(size)) => {
                     "sizes: wanted 0.1 to 10 each"
                 }
@@ -135,7 +139,9 @@
                 t if !(1..=26).contains(&t.zones) || t.pod == 0 => {
                     "zones and pod: wanted 1 to 26 zones, pods above 0"
                 }
-                t if t.plant.is_some() && t.balance == Balance::Sparlug => "plant: only stand-ins have one",
+                t if t.seeded_defect.is_some() && t.balance == Balance::Sparlug => {
+                    "plant: only stand-ins have one"
+                }
                 t if scenario.tiers[..n].iter().any(|o| o.name == t.name) => {
                     "name: there is one of that name"
                 }
@@ -144,7 +150,7 @@
             return Err(format!("{path}:{at}: tier {:?}: {why}", tier.name));
         }
         for (n, class) in scenario.classes.iter().enumerate() {
-            let numbered = class.effect == Effect::Numbered;
+            let numbered = class.effect == Effect::Keyed;
             if numbered != class.group.is_some() || numbered != class.window.is_some() {
                 let at = self.line_of("[[class]]", n);
                 let name = &class.name;
@@ -158,17 +164,18 @@
             let named = if fault.part.is_empty() { format!("{:?}", fault.kind) } else { fault.part.clone() };
             scenario.check_fault(fault).map_err(|why| format!("{path}:{at}: fault {named:?}: {why}"))?;
         }
-        let bounded = std::iter::once(&scenario.bounds);
-        let bounded = bounded.chain(scenario.variants.iter().filter_map(|variant| variant.bounds.as_ref()));
-        for name in bounded.flat_map(|bounds| bounds.most.keys().chain(bounds.least.keys())) {
+        let all_bounds = std::iter::once(&scenario.bounds);
+        let all_bounds =
+            all_bounds.chain(scenario.variants.iter().filter_map(|variant| variant.bounds.as_ref()));
+        for name in all_bounds.flat_map(|bounds| bounds.most.keys().chain(bounds.least.keys())) {
             let at = self.text.lines().position(|line| line.contains(name.as_str())).map_or(1, |at| at + 1);
             Figures::known(name).map_err(|why| format!("{path}:{at}: bounds: {why}"))?;
         }
-        draw::check(scenario).map_err(|(n, why)| {
+        fault_schedule::check(scenario).map_err(|(n, why)| {
             let at = n.map_or_else(|| self.line_of("[hunt]", 0), |n| self.line_of("[[hunt.fault]]", n));
             format!("{path}:{at}: hunt: {why}")
         })?;
-        for (n, compare) in scenario.compares.iter().enumerate() {
+        for (n, compare) in scenario.comparisons.iter().enumerate() {
             let at = self.line_of("[[compare]]", n);
             for name in [&compare.of, &compare.to] {
                 if !scenario.variants.iter().any(|variant| variant.name == *name) {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,30 +1,32 @@
-//! The proxy on sockets round sparlug's decisions, a part a file. `proxy` holds the one loop; `clients`,
-//! `pool` and `discovery` are the sides that it serves; the rest is what they share. Nothing here decides.
+//! The proxy that carries out sparlug's decisions on sockets, one part in each module. `proxy` holds the
+//! single event loop. `clients`, `pool` and `discovery` are the connections to clients, to backends and to
+//! the discovery agent that it serves; the other modules are what these share. This crate makes no routing
+//! decisions.
 
 pub mod acceptor;
+pub mod attempt_result;
 pub mod body;
+pub mod buffered_stream;
 pub mod clients;
-pub mod closing;
+pub mod close_reason;
 pub mod config;
+pub mod connect_timeout;
+pub mod control_messages;
 pub mod counters;
 pub mod deadlines;
 pub mod discovery;
-pub mod ending;
-pub mod failures;
 pub mod fleet;
 pub mod handover;
 pub mod http;
-pub mod link;
+pub mod io_failures;
 pub mod listing;
 pub mod logging;
 pub mod management;
-pub mod patience;
 pub mod peers;
 pub mod pool;
 pub mod proxy;
-pub mod said;
 pub mod shared;
 pub mod signals;
 pub mod slots;
 pub mod start_times;
-pub mod starting;
+pub mod startup;
--- /dev/null
+++ b/crates/proxy/tests/soak/stub_servers.rs
@@ -0,0 +1,60 @@
+//! Stub backends with a response delay, and a discovery agent that never has changes.
+
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::time::Duration;
+
+use crate::helper::{response, Arrivals};
+
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Reads the head of a request without a body; `None` if the connection ends before.
+fn read_head(conn: &mut TcpStream) -> Option<String> {
+    let (mut text, mut byte) = (Vec::new(), [0]);
+    while !text.ends_with(b"\r\n\r\n") {
+        match conn.read(&mut byte) {
+            Ok(1) => text.push(byte[0]),
+            _ => return None,
+        }
+    }
+    String::from_utf8(text).ok()
+}
+
+fn serve_with(listener: TcpListener, respond: impl Fn(&str) -> String + Clone + Send + 'static) {
+    std::thread::spawn(move || {
+        while let Ok((mut conn, _)) = listener.accept() {
+            let respond = respond.clone();
+            std::thread::spawn(move || {
+                let _ = conn.set_read_timeout(Some(READ_TIMEOUT));
+                let _ = conn.set_nodelay(true);
+                while let Some(text) = read_head(&mut conn) {
+                    if conn.write_all(respond(&text).as_bytes()).is_err() {
+                        return;
+                    }
+                }
+            });
+        }
+    });
+}
+
+/// Answers with the request's id, after up to 24 ms that depend on the id.
+pub fn backend(listener: TcpListener) -> Arrivals {
+    let arrivals = Arrivals::default();
+    let received = arrivals.clone();
+    serve_with(listener, move |text| {
+        received.record(text);
+        let id = crate::helper::request_id(text);
+        let sum: u64 = id.bytes().map(u64::from).sum();
+        std::thread::sleep(Duration::from_millis(sum * 7 % 25));
+        response("200 OK", "", id)
+    });
+    arrivals
+}
+
+/// Answers each list request after 300 ms with an empty change.
+pub fn agent(listener: TcpListener) {
+    serve_with(listener, |_| {
+        std::thread::sleep(Duration::from_millis(300));
+        response("200 OK", "", r#"{"seq":4,"whole":false,"hosts":[]}"#)
+    });
+}
