--- a/crates/proxy/tests/shim/faults.c
+++ b/crates/proxy/tests/shim/faults.c
@@ -60,6 +60,25 @@
 
 static struct control *control;
 
+/* The functions that this library replaces and passes calls on to. */
+#define REPLACED_FUNCTIONS(apply) \
+    apply(accept4) apply(socket) apply(connect) apply(recv) apply(send) apply(epoll_wait) apply(epoll_ctl) \
+    apply(getpeername) apply(getsockopt) apply(write) apply(read) apply(sendto) apply(recvfrom) \
+    apply(setsockopt) apply(sendmsg) apply(recvmsg)
+
+#define DECLARE_REAL(name) static __typeof__(&name) real_##name;
+REPLACED_FUNCTIONS(DECLARE_REAL)
+
+/*
+ * Finds the real functions before the program starts: dlsym() takes a lock that is not safe against signals,
+ * so a signal handler that called it, for example through send(), could block its own thread forever.
+ */
+__attribute__((constructor)) static void find_real_functions(void)
+{
+#define FIND_REAL(name) real_##name = (__typeof__(&name))dlsym(RTLD_NEXT, #name);
+    REPLACED_FUNCTIONS(FIND_REAL)
+}
+
 __attribute__((constructor)) static void map_control(void)
 {
     const char *path = getenv("SHIM_CONTROL");
@@ -72,7 +91,6 @@
         control = mapped;
 }
 
-#define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 /*
  * Returns -1 from the calling function if an error rule applies; otherwise evaluates to the rule of a short
  * transfer, or NULL.
@@ -141,7 +159,7 @@
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags)
 {
     FAIL_IF_HIT(ACCEPT, fd);
-    return REAL(accept4)(fd, address, length, flags);
+    return real_accept4(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol)
@@ -153,7 +171,7 @@
             return -1;
         }
     }
-    return REAL(socket)(domain, type, protocol);
+    return real_socket(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length)
@@ -165,7 +183,7 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(connect)(fd, address, length);
+    return real_connect(fd, address, length);
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags)
@@ -173,7 +191,7 @@
     struct rule *rule = FAIL_IF_HIT(READ, fd);
     if (rule && length > rule->max_bytes)
         length = rule->max_bytes;
-    return REAL(recv)(fd, buffer, length, flags);
+    return real_recv(fd, buffer, length, flags);
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags)
@@ -189,7 +207,7 @@
     struct rule *rule = FAIL_IF_HIT(WRITE, fd);
     if (rule && length > rule->max_bytes)
         length = rule->max_bytes;
-    return REAL(send)(fd, buffer, length, flags);
+    return real_send(fd, buffer, length, flags);
 }
 
 int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
@@ -199,27 +217,27 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(epoll_wait)(fd, events, max_events, timeout);
+    return real_epoll_wait(fd, events, max_events, timeout);
 }
 
 int epoll_ctl(int fd, int operation, int target, struct epoll_event *event)
 {
     if (operation == EPOLL_CTL_ADD)
         FAIL_IF_HIT(EPOLL_ADD, target);
-    return REAL(epoll_ctl)(fd, operation, target, event);
+    return real_epoll_ctl(fd, operation, target, event);
 }
 
 int getpeername(int fd, struct sockaddr *address, socklen_t *length)
 {
     FAIL_IF_HIT(PEER_NAME, fd);
-    return REAL(getpeername)(fd, address, length);
+    return real_getpeername(fd, address, length);
 }
 
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length)
 {
     if (level == SOL_SOCKET && name == SO_ERROR)
         FAIL_IF_HIT(SOCKET_ERROR, fd);
-    return REAL(getsockopt)(fd, level, name, value, length);
+    return real_getsockopt(fd, level, name, value, length);
 }
 
 ssize_t write(int fd, const void *buffer, size_t length)
@@ -229,7 +247,7 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(write)(fd, buffer, rule && length > rule->max_bytes ? rule->max_bytes : length);
+    return real_write(fd, buffer, rule && length > rule->max_bytes ? rule->max_bytes : length);
 }
 
 int open64(const char *path, int flags, ...)
@@ -256,7 +274,7 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(read)(fd, buffer, rule && length > rule->max_bytes ? rule->max_bytes : length);
+    return real_read(fd, buffer, rule && length > rule->max_bytes ? rule->max_bytes : length);
 }
 
 ssize_t sendto(int fd, const void *buffer, size_t length, int flags, const struct sockaddr *to,
@@ -267,7 +285,7 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(sendto)(fd, buffer, length, flags, to, size);
+    return real_sendto(fd, buffer, length, flags, to, size);
 }
 
 ssize_t recvfrom(int fd, void *buffer, size_t length, int flags, struct sockaddr *from, socklen_t *size)
@@ -277,14 +295,14 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(recvfrom)(fd, buffer, length, flags, from, size);
+    return real_recvfrom(fd, buffer, length, flags, from, size);
 }
 
 int setsockopt(int fd, int level, int name, const void *value, socklen_t length)
 {
     if (level == IPPROTO_TCP)
         FAIL_IF_HIT(SET_OPTION, fd);
-    return REAL(setsockopt)(fd, level, name, value, length);
+    return real_setsockopt(fd, level, name, value, length);
 }
 
 ssize_t sendmsg(int fd, const struct msghdr *message, int flags)
@@ -294,7 +312,7 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(sendmsg)(fd, message, flags);
+    return real_sendmsg(fd, message, flags);
 }
 
 ssize_t recvmsg(int fd, struct msghdr *message, int flags)
@@ -304,7 +322,7 @@
         errno = (int)rule->error;
         return -1;
     }
-    return REAL(recvmsg)(fd, message, flags);
+    return real_recvmsg(fd, message, flags);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time)
