--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -944,7 +944,8 @@
     assert!(mean_others < 2.0, "{mean_others}");
 }
 
-/// One of many instances observed backend 0 fail and sends this to another.
+/// Another instance observed that backend 0 fails. Its message reports nothing in flight there, so that only the
+/// failures, and not a load, can keep requests away from it. The second observation is older and is ignored.
 #[test]
 fn a_peers_observation_keeps_requests_away_until_it_is_old() {
     let mut balancer = balancer(Effect::Safe, 2);
