--- a/src/event.rs
+++ b/src/event.rs
@@ -45,8 +45,8 @@
         backend: BackendId,
         disabled: bool,
     },
-    /// How many instances share the tier from here on, and this instance's number among them. An adapter
-    /// without this information never sends the event.
+    /// How many instances share the tier from here on, and this instance's number among them; in a fleet a hash
+    /// of its name. An adapter without this information never sends the event.
     InstancesChanged {
         instances: usize,
         ordinal: usize,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,7 +9,8 @@
     pub tier: usize,
     /// Instances of this tier, this one included.
     pub instances: usize,
-    /// This instance's number among them, from 0.
+    /// This instance's number among them, from 0; in a fleet a hash of its name, which stays the same when
+    /// members come and go.
     pub ordinal: usize,
     pub zone: ZoneId,
     /// Whether sending to another zone has a price.
