--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,5 +1,6 @@
 //! Runs instances of the decision module behind the simulator's binary protocol: reads one batch of events
-//! from standard input at a time and writes one reply with the actions to standard output.
+//! from standard input at a time and writes one reply with the actions to standard output. It decides nothing
+//! itself.
 
 mod wire;
 
--- a/src/backend_sampler.rs
+++ b/src/backend_sampler.rs
@@ -1,5 +1,5 @@
 //! Random selection among the ids of all listed backends, and the home backends of a key by rendezvous
-//! hashing.
+//! hashing. Which backends are eligible, and which of the sampled ones is used, is decided in `policy.rs` alone.
 
 use oorandom::Rand32;
 
--- a/src/peer_message.rs
+++ b/src/peer_message.rs
@@ -1,4 +1,5 @@
 //! The compact encoding of messages between instances: observations of backends, and recently requested keys.
+//! What to do about them is decided in `policy.rs` alone.
 
 use std::collections::VecDeque;
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,5 @@
 //! The records that an instance keeps of backends, of the tier and of requests, with statistics over them.
+//! Decisions are made in `policy.rs` alone.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,4 +1,4 @@
-//! Statistics over observed values.
+//! Statistics over observed values. Decisions are made in `policy.rs` alone.
 
 use std::collections::{BTreeMap, VecDeque};
 
