--- a/src/policy.rs
+++ b/src/policy.rs
@@ -50,6 +50,7 @@
 const MIN_ATTEMPTS_PER_BACKEND: f64 = 2.0;
 const INITIAL_ATTEMPTS_PER_BACKEND: f64 = 4.0;
 const MAX_ATTEMPTS_PER_BACKEND: f64 = 6.0;
+/// Each instance may have at least this many attempts in flight in all, however many instances there are.
 const MIN_LIMIT_ATTEMPTS: f64 = 4.0;
 
 /// The weight of reported load against the limit, when the late part is `MAX_LATE_RATIO`.
@@ -78,7 +79,7 @@
 const MAX_EJECTED_RATIO: f64 = 0.34;
 /// How long a backend is ejected the first time.
 const FIRST_EJECTION: Span = Span::from_millis(1000);
-/// How often that time doubles.
+/// How often that time doubles at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
 /// The highest price of a check at which load reports are requested.
@@ -90,9 +91,10 @@
 const UNREPORTED_LOAD_RATIO: f64 = 0.5;
 /// The part of the counted keys that remains after each update interval.
 const KEY_FADE_RATIO: f64 = 0.97;
-/// With many instances for each backend, a report keeps its weight for this many more response times.
+/// A report fades over one response time, and over up to this many more where instances outnumber backends.
 const MAX_EXTRA_FADE_RESPONSES: f64 = 5.0;
-/// The number of home backends of a key for each backend's even part of the traffic that the key makes up.
+/// A key with one backend's even part of the traffic has this many home backends; others have more or fewer in
+/// proportion to their traffic.
 const HOME_BACKENDS_PER_EVEN_SHARE: f64 = 2.5;
 /// Sending a request to a backend that doesn't know its key counts as this many attempts in flight.
 const KEY_MOVE_PENALTY_ATTEMPTS: f64 = 0.4;
@@ -309,8 +311,8 @@
 }
 
 impl Tier {
-    /// How many attempts this instance may have in flight. The minimum lets an instance of many send short
-    /// bursts.
+    /// How many attempts this instance may have in flight. The minimum keeps bursts of a few requests from
+    /// waiting where there are many instances.
     fn instance_limit(&self) -> f64 {
         (self.limit / self.instances_per_backend.max(1.0)).max(MIN_LIMIT_ATTEMPTS)
     }
@@ -324,7 +326,8 @@
             }
             TierMessage::LatencySample(latency, in_time, exact) => {
                 self.latency_samples.add(now, latency.ms(), exact);
-                // An unknown late ratio starts at its maximum rather than at 0.
+                // A late ratio that is not known yet is not assumed to be good: it starts at the limit's
+                // threshold, not at 0.
                 self.late_ratio = Mean::of(self.late_ratio.or(MAX_LATE_RATIO));
                 self.late_ratio.add(f64::from(u8::from(!in_time)), 0.05);
                 if in_time {
@@ -380,8 +383,8 @@
             self.baseline = self.latency;
         }
         let queue_size = self.queue_size(self.latency);
-        // If the target is so close that latency can't grow past it, many late responses count as a queue as
-        // soon as there is a small one.
+        // With a target so close that latency can't grow past it, a queue never looks long. Where many
+        // responses are late, even a small one lowers the limit.
         if queue_size > 6.0 * log || self.late_ratio.or(0.0) > MAX_LATE_RATIO && queue_size > 1.5 * log {
             self.limit -= log.max(1.0);
         } else if queue_size < 3.0 * log {
