--- a/src/policy.rs
+++ b/src/policy.rs
@@ -148,7 +148,7 @@
                 self.in_flight += 1.0;
                 self.slow_start_credit -= 1.0;
             }
-            BackendMessage::ResponseAborted => self.record_failure(1.0, context),
+            BackendMessage::ResponseAborted => self.record_outcome(1.0, context),
             BackendMessage::SendFailed => {
                 self.last_response = self.last_response.max(context.now + SEND_FAILURE_GRACE)
             }
@@ -161,7 +161,7 @@
                 self.record_load_report(load, context.now);
                 // A backend that a check can't reach is ejected, so that no request is spent on finding out.
                 if outcome == Outcome::ConnectFailed {
-                    self.record_failure(1.0, context);
+                    self.record_outcome(1.0, context);
                     self.eject("unreachable", context);
                 }
             }
@@ -253,7 +253,7 @@
             return;
         }
         self.last_response = context.now;
-        self.record_failure(if served { 0.0 } else { 1.0 }, context);
+        self.record_outcome(if served { 0.0 } else { 1.0 }, context);
         if served {
             self.failure_score = 0.0;
             self.response_ms.add(end.took.ms(), 0.2);
@@ -282,7 +282,7 @@
     }
 
     /// Records a failure (1) or a success (0) of the backend.
-    fn record_failure(&mut self, failed: f64, context: &mut BackendContext) {
+    fn record_outcome(&mut self, failed: f64, context: &mut BackendContext) {
         self.failures.add(failed);
         let known =
             self.observed_failure_ratio(context.now, context.tier, PRIOR_ATTEMPTS, OBSERVATION_FADE_MS);
