--- a/src/backend_sampler.rs
+++ b/src/backend_sampler.rs
@@ -6,7 +6,8 @@
 use crate::event::Listing;
 use crate::id::{BackendId, ZoneId};
 
-/// How many random entries a search looks at, so that the cost of a selection does not grow with the fleet.
+/// How many random entries a search looks at in the subset, and then among all, so that the cost of a selection
+/// does not grow with the fleet.
 const MAX_DRAWS: usize = 40;
 
 /// All backend ids, and those of the instance's own zone, each with its size, in this instance's order of
--- a/src/event.rs
+++ b/src/event.rs
@@ -252,7 +252,8 @@
     NotSent,
     /// An attempt that may have run failed, and the request may run only once.
     MayHaveRun,
-    /// An attempt failed, and neither the settings nor the retry budget allow another.
+    /// An attempt failed, and there is no further one: the number of attempts is limited, the retry budget is
+    /// spent, or the request's bytes are no longer buffered.
     AttemptsSpent,
 }
 
--- a/src/id.rs
+++ b/src/id.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
 
-/// A small group of backends that share their records of keys against repeated runs.
+/// A small group of backends that know which requests the others have run, so that they drop repeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PodId(pub u16);
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -28,7 +28,7 @@
     /// Whether the list has to be fetched; otherwise it is pushed.
     pub list_on_request: bool,
     pub max_attempts: u16,
-    /// Whether backends also say that they are full for work that they had begun.
+    /// Whether a backend may also say that it is full when it had already begun to run the request.
     pub full_may_have_run: bool,
     /// Whether a backend that is gone or missing from the list may still be sent to, as long as it was never
     /// listed as draining.
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -146,7 +146,7 @@
         self.recent.drain(..self.recent.len().saturating_sub(MAX_KEYS));
     }
 
-    /// Counts the hash of a key that another instance sent.
+    /// Counts a request by the hash of its key, which is what other instances send.
     pub fn add_hash(&mut self, hash: u32) {
         *self.counts.entry(hash).or_default() += 1.0;
         self.total += 1.0;
