--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -204,8 +204,9 @@
 }
 
 #[test]
-fn between_two_and_three_limits_requests_over_quota_are_refused_first() {
+fn requests_over_quota_are_refused_first() {
     let (mut balancer, mut actions) = (balancer(Effect::Safe, 3), Vec::new());
+    // Above three times the limit one request is refused for certain.
     balancer.tier.in_flight = 30.0;
     balancer.queue.pending.insert(RequestId(7), PendingRequest { over_quota: true, ..pending(Effect::Safe) });
     balancer.queue.first_attempts.push(RequestId(7));
@@ -446,7 +447,7 @@
 }
 
 #[test]
-fn slow_start_credit_grows_slower_than_the_capacity() {
+fn slow_start_credit_grows_slower_than_the_load_that_overloads() {
     let (mut balancer, mut tier_inbox, mut actions) = (balancer(Effect::Safe, 4), Vec::new(), Vec::new());
     let slow_start =
         SlowStart { initial_share: 0.2, ramp: ms(10_000), overload_ratio: 3.0, overload_window: ms(2000) };
@@ -457,7 +458,8 @@
     assert!(backend.slow_start_credit > 0.0 && backend.slow_start_credit < 0.2 * 3.0 * 10.0 / TICKS_PER_S);
 }
 
-/// Guards against taking the attempt whose response brings the report for an attempt of another instance.
+/// Guards against counting the attempt that just ended, which the report still includes, as one of another
+/// instance.
 #[test]
 fn a_load_report_counts_the_attempt_whose_response_it_came_with() {
     let balancer = balancer(Effect::Safe, 1);
@@ -668,7 +670,7 @@
     }
 }
 
-fn keyed(key: u64, backends: u8) -> Balancer {
+fn balancer_with_key(key: u64, backends: u8) -> Balancer {
     let mut balancer = balancer(Effect::Safe, backends);
     balancer.settings.key_affinity = true;
     balancer.queue.pending.insert(RequestId(1), PendingRequest { key: Some(key), ..pending(Effect::Safe) });
@@ -677,7 +679,7 @@
 
 #[test]
 fn a_key_has_one_home_backend_until_it_is_busy_and_more_if_it_is_much_of_the_traffic() {
-    let mut balancer = keyed(5, 20);
+    let mut balancer = balancer_with_key(5, 20);
     (100..160).for_each(|other| balancer.queue.keys.add(other));
     let home_backends = |balancer: &mut Balancer| {
         (0..100).filter_map(|_| choose(balancer)).collect::<std::collections::BTreeSet<_>>()
@@ -686,14 +688,14 @@
     assert_eq!(initial.len(), 1);
     balancer.backends.get_mut(initial.first().unwrap()).unwrap().in_flight = 9.0;
     assert!(home_backends(&mut balancer).is_disjoint(&initial));
-    let mut balancer = keyed(5, 20);
+    let mut balancer = balancer_with_key(5, 20);
     (0..30).for_each(|n| balancer.queue.keys.add(if n % 3 == 0 { 5 } else { n }));
     assert!(home_backends(&mut balancer).len() > 3);
 }
 
 #[test]
 fn a_retry_goes_to_another_backend_than_the_last_attempt() {
-    let mut balancer = keyed(5, 20);
+    let mut balancer = balancer_with_key(5, 20);
     let home_backend = choose(&mut balancer);
     balancer.queue.pending.get_mut(&RequestId(1)).unwrap().last_backend = home_backend;
     assert!(choose(&mut balancer) != home_backend);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -98,13 +98,13 @@
     }
 
     fn listing(&self, number: u8) -> Listing {
-        let (started, is_before) = (self.started.get(&number), self.now < START_S - 2.0);
+        let (started, before_removal) = (self.started.get(&number), self.now < START_S - 2.0);
         let is_absent = self.starting_backends().contains(&number) && started.is_none();
         Listing {
             backend: backend(number),
             zone: ZoneId(u16::from(number) * 3 / u16::from(BACKENDS)),
             pod: PodId(0),
-            condition: if is_absent && !(is_before && self.scenario != Scenario::NewBackend) {
+            condition: if is_absent && !(before_removal && self.scenario != Scenario::NewBackend) {
                 Condition::Gone
             } else {
                 Condition::Ready
@@ -278,14 +278,18 @@
             let (overload_ratio, part_ratio) =
                 (simulation.worst_overload_ratio(), simulation.even_part_ratio());
             println!(
-                "{scenario:?}, {count} instances, seed {seed}: load {overload_ratio:.2}, part {part_ratio:.2}"
+                "{scenario:?}, {count} instances, seed {seed}: {overload_ratio:.2} of the load that overloads, \
+                 {part_ratio:.2} of an even part"
             );
             assert!(
                 overload_ratio < 1.0,
-                "{scenario:?}, {count} instances, seed {seed}: overload {overload_ratio:.2}"
+                "{scenario:?}, {count} instances, seed {seed}: {overload_ratio:.2} of the load that overloads"
             );
             // A starting backend must get some of the load, or the others have to carry it.
-            assert!(part_ratio > 0.2, "{scenario:?}, {count} instances, seed {seed}: part {part_ratio:.2}");
+            assert!(
+                part_ratio > 0.2,
+                "{scenario:?}, {count} instances, seed {seed}: {part_ratio:.2} of an even part"
+            );
         }
     }
 }
