--- a/crates/setup/src/fleet.rs
+++ b/crates/setup/src/fleet.rs
@@ -139,7 +139,8 @@
             let (offset, text) = (address.span().start, address.get_ref());
             match text.parse::<SocketAddr>() {
                 Ok(member) if is_unroutable(&member) || members.contains(&member) => {
-                    let why = format!("{field}: {text:?}: wanted an address that others can send to, once");
+                    let why =
+                        format!("{field}: {text:?}: wanted an address that others can send to, listed once");
                     self.report(offset, why);
                 }
                 Ok(member) => members.push(member),
@@ -174,14 +175,17 @@
         let voters = self.member_addresses("fleet.voters", &raw.voters);
         let voters_before = self.member_addresses("fleet.voters_before", &raw.voters_before);
         if let (Some(first), true) = (raw.voters_before.first(), voters.is_empty()) {
-            self.report(first.span().start, "fleet.voters_before: wanted voters beside it, which come after");
+            self.report(
+                first.span().start,
+                "fleet.voters_before: wanted voters beside it, which replace these",
+            );
         }
         let first_duty = raw.duties.first()?;
         let voters = if voters.is_empty() { seeds.to_vec() } else { voters };
         if voters.is_empty() {
             self.report(
                 first_duty.span().start,
-                "fleet.duties: wanted voters, or seeds, of which a majority grants them",
+                "fleet.duties: wanted voters, or seeds as voters: a majority of them grants the duties",
             );
         }
         let voter_sets = [voters, voters_before].into_iter().filter(|set| !set.is_empty()).collect();
