--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -114,7 +114,7 @@
     ordinal: usize,
     /// Budgets while this is the only process, and during the overlap with another one in a handover.
     budgets: [Budgets; 2],
-    /// The path of checks.
+    /// The path that checks request: that of the load report, or `/health` where backends have none.
     check_path: &'static str,
     longest_deadline: Span,
     /// The settings that need a restart, for a warning when a new configuration changes them.
@@ -146,7 +146,8 @@
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(reuse_port)?;
         socket.bind(&config.listen.into())?;
-        // With the usual backlog of 128 the kernel dropped connections while the loop was busy.
+        // The usual backlog of 128 fills up while the loop is busy; the kernel then drops connections, and
+        // nothing in the process shows it.
         socket.listen(LISTEN_BACKLOG)?;
         Ok(socket.into())
     };
