--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -41,7 +41,7 @@
 /// The result of `Acceptor::accept`.
 pub enum Accepted<S> {
     Connection(S),
-    /// The queue is empty.
+    /// The queue is empty, or too many connections in a row failed; the rest are accepted after a pause.
     Empty,
     /// The call failed and is repeated later.
     Failed(io::Error),
--- a/crates/proxy/src/buffered_stream.rs
+++ b/crates/proxy/src/buffered_stream.rs
@@ -15,7 +15,7 @@
 use crate::io_failures::Cause;
 
 const MAX_INTERRUPTED_CALLS: u32 = 16; // in a row, before other streams get their turn
-const CHUNK_BYTES: usize = 16 * 1024; // read per call, and written bytes that are freed at once
+const CHUNK_BYTES: usize = 16 * 1024; // read per call; also the least number of written bytes to free early
 pub const RETRY_PAUSE: Span = Span::from_millis(5); // before repeating a call that lacked a resource
 
 thread_local! {
@@ -37,7 +37,7 @@
     begun_writing: bool,
     /// Reading stopped at a limit and not because nothing more was available.
     more_to_read: bool,
-    /// A call failed for lack of a resource and has to be repeated; no event will tell when.
+    /// A call failed for a reason that may pass and has to be repeated; no event will tell when.
     retry_needed: bool,
     /// The failed call was a read.
     read_failed: bool,
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -31,14 +31,14 @@
 const REQUEST_READ_TIMEOUT: Span = Span::from_millis(2_300); // for a later request, from its first byte
 const BODY_CHECK_INTERVAL: Span = Span::from_millis(1_050); // between checks of a body's progress
 const BODY_GRACE_TIME: Span = Span::from_millis(2_000); // before a body's progress is judged
-const BODY_SILENCE_TIMEOUT: Span = Span::from_millis(1_000);
+const BODY_SILENCE_TIMEOUT: Span = Span::from_millis(1_000); // without a byte, after which a body is stalled
 const MIN_BODY_BYTES_PER_MS: f64 = 20.0;
 const IDLE_TIMEOUT: Span = Span::from_millis(15_000); // between requests
 const RESPONSE_WRITE_TIMEOUT: Span = Span::from_millis(10_000); // for the client to read a response
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000); // for the client to read the last response and close
 const MIN_EVICTION_AGE: Span = Span::from_millis(2_000); // since the last use, before an eviction
 const LINGERING_RANK: usize = 0; // lingering connections are evicted first
-const CLIENT_GONE_STATUS: u16 = 499; // status under which a request counts whose client closed the connection
+const CLIENT_GONE_STATUS: u16 = 499; // counted for a request whose connection closes before its response
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// The names, longest deadlines and methods of the request classes, and the names of the tenants.
@@ -214,7 +214,7 @@
     fn add_connection(&mut self, stream: TcpStream, io: &mut IoContext) {
         let mut stream = Some(stream);
         let read_failed_since = self.acceptor.delayed_since;
-        // The token contains the slot, so that the connection is built once its slot is known.
+        // The timer names the slot, so the connection is built once its slot is known.
         let (deadlines, now) = (&mut io.deadlines, io.now);
         let slot = self.connections.insert_with(|slot| {
             let mut stream = BufferedStream::new(stream.take()?);
--- a/crates/proxy/src/proxy/lifecycle.rs
+++ b/crates/proxy/src/proxy/lifecycle.rs
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Continues after a failed wait, so that a transient failure does not end the process; fails after too
-    /// many in a row.
+    /// Continues after a failed wait, so that a transient failure does not end the process. Fails after too
+    /// many in a row, but never because of an interrupted wait.
     pub(super) fn handle_failed_wait(&mut self, error: io::Error, wait_start: Time) -> io::Result<()> {
         self.io.counters.failures.count(SystemCall::Wait, &error);
         let now = self.clock.now();
--- a/crates/proxy/src/proxy/requests.rs
+++ b/crates/proxy/src/proxy/requests.rs
@@ -104,7 +104,8 @@
         }
         let (bytes, timeout_range) = incoming.head.for_backend(&incoming.message[..end], remaining);
         let (purpose, until) = (Purpose::Attempt(request, number), self.io.now + timeout);
-        // A retry uses a new connection, since a reused idle one may be what made the previous attempt fail.
+        // A retry is sent like a request that must not run twice, on a new connection unless idle ones have
+        // proved reliable: a reused idle one may be what made the previous attempt fail.
         let repeatable = pending.incoming.head.method == "GET" && number.0 == 0;
         let message = OutgoingRequest {
             bytes: &bytes,
