--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -195,8 +195,9 @@
         if !self.pushed {
             return io.events.push_back(ProxyEvent::ListFailed);
         }
-        // Guards against noticing a drain late: a silent agent responds to the outstanding request as soon as
-        // it is back, and from then on its list counts as known to the proxy.
+        // The next request follows soon, since from the moment that a silent agent is back, its list counts
+        // as known to the proxy: it responds to the request that is outstanding then. Without one, the proxy
+        // would notice a drain late.
         self.deadline =
             Some(io.deadlines.set(self.requested_at + MIN_REQUEST_INTERVAL, TimerEvent::Discovery));
     }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -180,7 +180,8 @@
     }
 }
 
-/// Formats a `Request-Timeout` in seconds, rounded up, since a backend may take 0 for no timeout.
+/// Formats a `Request-Timeout` in seconds, rounded up, since 0 is not a timeout: a backend may take it for
+/// none, and a proxy in front of the next tier refuses it.
 pub fn format_timeout(remaining: Span) -> String {
     format!("{:.4}", (remaining.ms() * 10.0).ceil().max(1.0) / 10_000.0)
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -59,7 +59,7 @@
     pub bytes: &'a [u8],
     /// No further bytes follow.
     pub complete: bool,
-    /// The request may run again if it gets lost.
+    /// Any idle connection may carry the request, since it may run again if it gets lost.
     pub repeatable: bool,
     /// Position of the timeout header's value, which is set to the time left when the message is written.
     pub timeout_range: Option<Range<usize>>,
@@ -225,9 +225,9 @@
         Some(slot)
     }
 
-    /// Takes a usable idle connection, the most recently used one first. The opposite order, least recently
-    /// used first as a protection from a late second response, was tried and served fewer requests (see
-    /// `docs/incidents/second-answers.md`).
+    /// Takes a usable idle connection, the most recently used one first. The least recently used one first
+    /// would give a late second response more time to arrive and be noticed, but that order served fewer
+    /// requests (see `docs/incidents/second-answers.md`).
     fn take_idle(&mut self, backend: BackendId, io: &mut IoContext) -> Option<ConnSlot> {
         loop {
             let slot = self.backends.get_mut(&backend)?.idle_conns.pop()?;
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -9,7 +9,8 @@
 
 use crate::listing::BackendList;
 
-/// How long before the last list without it a backend that is new to the list may have started.
+/// A backend that is new to the list may have started this long before the last list without it. An earlier
+/// start is not believed.
 const MAX_TIME_UNLISTED: Span = Span::from_millis(60_000);
 /// Number of backends that are remembered although they are no longer listed.
 const MAX_GONE_BACKENDS: usize = 4_096;
