--- a/crates/proxy/tests/mixed_topologies.rs
+++ b/crates/proxy/tests/mixed_topologies.rs
@@ -159,7 +159,8 @@
         .map(|(tier, more)| Proxy::start_native(&config(&backend_addresses, false, tier, more)))
         .collect();
     drop(address_lock);
-    // One backend starts to break off all responses; later another one drains.
+    // From some point on one backend closes its connections without a response to what it has run; later
+    // another one drains.
     let broken = backends[BACKEND_COUNT - 1].clone();
     let breaks_off = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(400));
@@ -174,8 +175,8 @@
     for (first_round, second_round) in
         requests.iter_mut().zip(run_clients(&proxies, 3, Duration::from_millis(800)))
     {
-        // The second round reuses the ids; the backends' records of the two rounds differ by their time. Its
-        // ids get a prefix here and below.
+        // The second round reuses the ids of the first, so its ids get the prefix `+`. In the backends' records
+        // the rounds are told apart by time.
         first_round
             .extend(second_round.into_iter().map(|(id, write, status)| (format!("+{id}"), write, status)));
     }
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -524,7 +524,8 @@
     assert!(counters.contains(" lists_failed=3 "), "{counters}");
 }
 
-/// Guards against odd lists from discovery: each one causes a log line, and requests are still served.
+/// Guards against suspicious lists from discovery, such as empty or much shorter ones: each causes a log line,
+/// and requests are still served.
 #[test]
 fn odd_lists_are_logged_and_fail_no_request() {
     let backend = backend();
@@ -545,8 +546,8 @@
         (12, many(30_000), "listed"),
         (13, host("h0", "a"), "less than half"),
     ];
-    // An agent that answers each request with the current list once that differs from the version in
-    // the request.
+    // An agent that responds with its current list to each request that does not name the version of that
+    // list, however often the proxy asks; other requests wait until the list changes.
     let current = Arc::new(Mutex::new((4, String::new())));
     let (agents, latest) = (proxy.discovery.try_clone().unwrap(), current.clone());
     std::thread::spawn(move || loop {
