--- a/crates/proxy/tests/discovery_failures.rs
+++ b/crates/proxy/tests/discovery_failures.rs
@@ -1,5 +1,5 @@
-//! Transient failures of the calls that requests to discovery need: backend lists are up to date soon after
-//! they succeed again.
+//! Transient failures of the system calls that requests to discovery need: backend lists are up to date again
+//! soon after the calls succeed.
 
 mod helper;
 
--- a/crates/proxy/tests/shim/faults.c
+++ b/crates/proxy/tests/shim/faults.c
@@ -49,7 +49,7 @@
     uint32_t remaining;  /* number of calls that are still to fail */
     uint32_t port;       /* only sockets with this local or remote port; 0: all */
     uint32_t calls;      /* calls counted for `every` */
-    uint32_t hits;       /* calls that have failed */
+    uint32_t hits;       /* calls that have failed or been shortened */
     uint32_t unused;
 };
 
--- a/crates/proxy/tests/streaming.rs
+++ b/crates/proxy/tests/streaming.rs
@@ -93,8 +93,8 @@
         assert!(head.starts_with("HTTP/1.1 200 "), "{head}");
         let mut first = [0; 5];
         client.read_exact(&mut first).unwrap();
-        // The first bytes are read before the reset, which could discard them; an error ends the connection
-        // too.
+        // Reset only after the client has read the first bytes, which a reset could discard. The client may
+        // see an error instead of the end of the connection.
         socket2::SockRef::from(&conn).set_linger(Some(std::time::Duration::ZERO)).unwrap();
         drop(conn);
         let mut rest = Vec::new();
