--- a/crates/proxy/tests/idle_eviction.rs
+++ b/crates/proxy/tests/idle_eviction.rs
@@ -10,7 +10,7 @@
 
 const SOCKETS: usize = 64;
 
-fn is_ready_response(client: &mut TcpStream) -> bool {
+fn check_readiness(client: &mut TcpStream) -> bool {
     write(client, "GET /ready HTTP/1.1\r\n\r\n");
     read_message(client).starts_with("HTTP/1.1 200")
 }
@@ -27,7 +27,7 @@
     for _ in 0..capacity {
         let mut client = proxy.connect();
         if idle.len() < capacity / 2 {
-            assert!(is_ready_response(&mut client));
+            assert!(check_readiness(&mut client));
         }
         idle.push(client);
     }
--- a/crates/proxy/tests/slow_connects.rs
+++ b/crates/proxy/tests/slow_connects.rs
@@ -14,7 +14,7 @@
 
 /// Settings with long deadlines and a long connect time-out, so that a connect of one second does not
 /// fail.
-fn patient_settings(effect: &str) -> String {
+fn long_timeout_settings(effect: &str) -> String {
     let settings = settings(20_000, "").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":20000");
     settings.replace(r#""effect":"pure""#, effect)
 }
@@ -34,7 +34,7 @@
 #[test]
 fn request_timeout_is_the_time_left_at_the_write_not_at_the_decision() {
     let (backend, backlog) = unreachable_backend();
-    let proxy = Proxy::start_with(&[&backend], 1024, &patient_settings(r#""effect":"pure""#));
+    let proxy = Proxy::start_with(&[&backend], 1024, &long_timeout_settings(r#""effect":"pure""#));
     let (mut client, sent) = (proxy.connect(), Instant::now());
     write(&mut client, &request("GET", "/read", "15"));
     while counter(&proxy, "dialled") < 1 {}
@@ -58,7 +58,7 @@
 /// Returns the response, and how many retries the backend received.
 fn retry_with_a_slow_connect(window_ms: u32, wait: Duration) -> (String, usize) {
     let backend = backend();
-    let keyed = patient_settings(&format!(r#""effect":"token","group":"all","windowMs":{window_ms}"#));
+    let keyed = long_timeout_settings(&format!(r#""effect":"token","group":"all","windowMs":{window_ms}"#));
     let proxy = Proxy::start_with(&[&backend], 1024, &keyed);
     let mut client = proxy.connect();
     write(&mut client, &request("POST", "/read", "15"));
