--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -19,7 +19,7 @@
 const HANDOFF_INTERVAL: Span = Span::from_millis(500);
 /// Until a duty that came back after a hand-off is handed off again.
 const REPEATED_HANDOFF_INTERVAL: Span = Span::from_millis(60_000);
-/// Up to this fleet size each member queries the voters once per lease; in larger fleets less often.
+/// Up to this fleet size each member queries one voter per lease; in larger fleets less often.
 const MEMBERS_QUERYING_EACH_LEASE: f64 = 64.0;
 /// Part of a lease within which voters reply if they reply at all.
 const REPLY_WINDOW_RATIO: f64 = 0.125;
@@ -45,7 +45,8 @@
     Release {
         duties: Vec<(u64, u64)>,
     },
-    /// To a member: these duties have been released, and the receiver is next in rank.
+    /// To a member: these duties have been released, and the receiver is the best ranked member other than
+    /// the sender.
     Offer {
         duties: Vec<u64>,
     },
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -256,9 +256,9 @@
         self.highest_seen = self.highest_seen.max(term);
     }
 
-    /// Abandons a request that only a minority has granted for the time `after`, and returns the term to
-    /// release. Without this, two processes with half of the votes each would wait for each other's grants to
-    /// expire.
+    /// Abandons a request that after the time `after` has grants of some voters but no majority, and returns
+    /// the term to release. Without this, two processes with half of the votes each would wait for each
+    /// other's grants to expire.
     pub fn abandon_request(&mut self, now: Time, after: Span) -> Option<u64> {
         if self.held_term(now).is_some() {
             return None;
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -16,7 +16,7 @@
 const ANNOUNCE_DELAY: Span = Span::from_millis(300); // if no seed answers
 const CHALLENGE_TIMEOUT: Span = Span::from_millis(400);
 const CHALLENGE_ATTEMPTS: u32 = 3;
-const EXCLUDED_CHALLENGE_INTERVAL: Span = Span::from_millis(5000);
+const EXCLUDED_CHALLENGE_INTERVAL: Span = Span::from_millis(5000); // while the conflict persists
 const LEAVE_FANOUT: usize = 8;
 
 /// A conflict with another process that uses this process's name or address.
@@ -170,7 +170,8 @@
             self.send_full_state(sender.address, false, actions);
         } else if !empty || sender.incarnation > 0 {
             self.joined = true;
-            // A dead member that answers has a different view of other members too: it gets the full state.
+            // A dead or unknown member that answers has a different view of other members too: it gets the
+            // full state.
             if self.reconnect_target.take_if(|to| *to == sender.address).is_some()
                 && !was_present
                 && self.announced
@@ -237,7 +238,7 @@
         (conflict.attempts, conflict.answered, conflict.echoed) = (0, false, false);
         if other_wins && !conflict.excludes_local {
             let text = format!(
-                "{} is reached at {}, this process's advertised address: it takes no part in the fleet",
+                "{} is reached at {}, which this process advertises: this process takes no part in the fleet",
                 conflict.other.name, conflict.other.address
             );
             conflict.excludes_local = true;
@@ -247,8 +248,8 @@
         }
     }
 
-    /// Stops taking part in the fleet. Members that know this process are told that it left, so that they
-    /// don't have to wait for a suspicion to end.
+    /// Stops taking part in the fleet. After a conflict over the address, the seeds and some members are told
+    /// that this process left, so that the fleet does not have to wait for a suspicion to end.
     fn exclude_local(&mut self, text: String, actions: &mut Vec<Action>) {
         if self.announced && self.conflict.as_ref().is_some_and(|conflict| conflict.over_address) {
             let left = MemberRecord { state: MemberState::Left, ..self.local.clone() };
@@ -352,7 +353,10 @@
                 self.local.incarnation = self.local.incarnation.max(incarnation + 1);
             }
             if excludes_local {
-                self.log(actions, format!("no other process claims {name} any more: it takes part again"));
+                self.log(
+                    actions,
+                    format!("{name} no longer answers at {to}: this process takes part in the fleet again"),
+                );
                 self.set_timer(Span::ZERO, TimerEvent::Join);
             }
             return self.announce_again(actions);
@@ -410,7 +414,7 @@
         }
         conflict.excludes_local = true;
         let text =
-            format!("{name} at {address} is another, older process: this one takes no part in the fleet");
+            format!("{name} at {address} is another, older process: this process takes no part in the fleet");
         self.exclude_local(text, actions);
         true
     }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -29,7 +29,7 @@
 /// Limit on known other members, so that forged claims can't fill the memory.
 pub(crate) const MAX_MEMBERS: usize = 4096;
 pub(crate) const MAX_PIGGYBACKED: usize = 8; // updates on a probe or its answer
-/// How long the proxy counts as unheard after it learns that others declared it dead.
+/// How long the proxy assumes that others don't hear it after it learns that they declared it dead.
 const REPORTED_DEAD_PERIOD: Span = Span::from_millis(15_000);
 const GENERATION_RANDOM_BITS: u32 = 20; // below the milliseconds of the process's start
 const LOG_BURST_LINES: f64 = 20.0;
@@ -46,7 +46,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Usual number of proxies, if operators configured it.
     pub expected: Option<usize>,
-    /// Number of proxies in the configured tier: used until other members have been heard.
+    /// Number of proxies in the configured tier: expected at least until another member has sent its state.
     pub instances: usize,
     /// A seeded defect that the randomised tests must find; `None` outside of tests.
     pub seeded_defect: Option<SeededDefect>,
@@ -589,7 +589,8 @@
         actions.push(Action::Log(text + &suffix));
     }
 
-    /// Usual number of members.
+    /// Usual number of members: the largest of the number of known members that have not left, the configured
+    /// number, and, until another member has sent its state, the number of proxies in the configured tier.
     pub fn expected(&self) -> usize {
         let known = self.totals.1;
         let configured_tier = if self.joined { 0 } else { self.settings.instances };
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -14,7 +14,7 @@
 const MIN_SUSPICION_PROBE_INTERVALS: f64 = 2.5; // per factor of ten in the fleet's size
 const MAX_SUSPICION_RATIO: f64 = 6.0; // of the minimum, while no other member confirms the suspicion
 const CONFIRMATIONS_FOR_MIN_SUSPICION: usize = 3;
-const FINAL_REFUTATION_TIME: Span = Span::from_millis(400); // after the direct notice that precedes a death
+const FINAL_REFUTATION_TIME: Span = Span::from_millis(400); // after the last direct notice to a suspect
 const DEAD_RETENTION: Span = Span::from_millis(600_000); // until then, reconnecting is attempted
 const LEFT_RETENTION: Span = Span::from_millis(60_000);
 
@@ -73,6 +73,7 @@
                 self.declare_dead(&update.name, actions);
             }
             // It was not suspected here: it gets the time for a refutation that a confirmed suspicion allows.
+            // The accusers 1 to 3 stand in for confirming members.
             (MemberState::Dead, MemberState::Alive) if newer || same => {
                 self.adopt_incarnation(&update);
                 for accuser in [update.accuser, 1, 2, 3] {
--- a/crates/fleet/src/probing.rs
+++ b/crates/fleet/src/probing.rs
@@ -8,7 +8,7 @@
 use crate::membership::{Action, Membership, TimerEvent, MAX_PIGGYBACKED, PROBE_INTERVAL};
 use crate::wire::{Body, MemberRecord};
 
-const DIRECT_ACK_TIMEOUT: Span = Span::from_millis(200);
+const DIRECT_ACK_TIMEOUT: Span = Span::from_millis(200); // then other members are asked to ping the target
 const PROBE_TIMEOUT_RATIO: f64 = 0.9; // of the probe interval
 const INDIRECT_PROBE_FANOUT: usize = 3;
 const MAX_INDIRECT_PINGS: usize = 64;
--- a/crates/fleet/src/updates.rs
+++ b/crates/fleet/src/updates.rs
@@ -13,7 +13,7 @@
     (TRANSMISSIONS_PER_DOUBLING * (members as f64 + 1.0).log2()).ceil() as u32
 }
 
-/// After this many updates that do not fit, the rest waits for another message.
+/// If more updates than this do not fit, the rest waits for another message.
 const MAX_SKIPPED: usize = 8;
 
 #[derive(Debug, Default)]
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -25,7 +25,8 @@
     pub members: Vec<MemberStatus>,
     /// Number of present members, including suspects and the proxy itself.
     pub alive: usize,
-    /// Usual number of members: the configured number, or that of members recently present.
+    /// Usual number of members: the configured number, or the number of known members that have not left if
+    /// that is larger.
     pub expected: usize,
     /// Whether more than half of the expected members are present.
     pub has_majority: bool,
--- a/crates/fleet/tests/model/mod.rs
+++ b/crates/fleet/tests/model/mod.rs
@@ -35,7 +35,8 @@
     /// Its clock: the time it shows at simulation time 0, and how much faster it runs.
     clock_offset_ms: f64,
     clock_drift: f64,
-    starts: u32,
+    /// Incremented by each start and kill, so that timers of an earlier process are ignored.
+    epoch: u32,
     timer_at: Option<Time>,
     pub sent: u64,
     pub sent_bytes: u64,
@@ -121,7 +122,7 @@
             buffered,
             clock_offset_ms,
             clock_drift,
-            starts: 0,
+            epoch: 0,
             timer_at: None,
             sent: 0,
             sent_bytes: 0,
@@ -153,8 +154,8 @@
         self.nodes[n].clock_offset_ms += ahead_ms;
         let now = self.local_time(n);
         let node = &mut self.nodes[n];
-        (node.membership, node.running, node.starts) =
-            (Membership::new(settings, 77, now), true, node.starts + 1);
+        (node.membership, node.running, node.epoch) =
+            (Membership::new(settings, 77, now), true, node.epoch + 1);
         self.handle(n, Event::Start);
         n
     }
@@ -165,13 +166,13 @@
         (node.membership, node.running, node.frozen_until, node.timer_at) =
             (Membership::new(settings, seed, now), true, 0, None);
         node.buffered.clear();
-        node.starts += 1;
+        node.epoch += 1;
         self.handle(n, Event::Start);
     }
 
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].running = false;
-        self.nodes[n].starts += 1;
+        self.nodes[n].epoch += 1;
     }
 
     pub fn leave(&mut self, n: usize) {
@@ -220,8 +221,8 @@
                 Action::Send { to, bytes } => self.transmit(n, to, bytes),
                 Action::SetTimer(at) => {
                     self.nodes[n].timer_at = Some(at);
-                    let (due, starts) = (self.sim_time(n, at), self.nodes[n].starts);
-                    self.push(due, SimEvent::Timer(n, starts));
+                    let (due, epoch) = (self.sim_time(n, at), self.nodes[n].epoch);
+                    self.push(due, SimEvent::Timer(n, epoch));
                 }
                 Action::Log(text) => self.nodes[n].log.push(text),
                 Action::ViewChanged | Action::PeerMessage { .. } | Action::DutyMessage(..) => {}
@@ -270,13 +271,13 @@
                         self.handle(n, Event::DatagramReceived(&bytes, from));
                     }
                 }
-                SimEvent::Timer(n, starts) => self.fire_timer(n, starts),
+                SimEvent::Timer(n, epoch) => self.fire_timer(n, epoch),
                 SimEvent::Resume(n) if self.nodes[n].running && self.nodes[n].frozen_until <= self.now => {
                     for (from, bytes) in std::mem::take(&mut self.nodes[n].buffered) {
                         self.handle(n, Event::DatagramReceived(&bytes, from));
                     }
-                    let starts = self.nodes[n].starts;
-                    self.fire_timer(n, starts);
+                    let epoch = self.nodes[n].epoch;
+                    self.fire_timer(n, epoch);
                 }
                 SimEvent::Resume(_) => {}
             }
@@ -284,9 +285,9 @@
         self.now = end;
     }
 
-    fn fire_timer(&mut self, n: usize, starts: u32) {
+    fn fire_timer(&mut self, n: usize, epoch: u32) {
         let node = &self.nodes[n];
-        if !node.running || node.starts != starts || node.frozen_until > self.now {
+        if !node.running || node.epoch != epoch || node.frozen_until > self.now {
             return;
         }
         let now = self.local_time(n);
