--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -64,8 +64,8 @@
 
 impl LiveStats {
     fn apply(&mut self, record: Record) {
-        let Record { t, component: part, kind: what } = record;
-        match what {
+        let Record { t, component, kind } = record;
+        match kind {
             RecordKind::ResponseReceived { status: 200, .. } => {
                 self.served += 1;
                 self.total_served += 1;
@@ -78,11 +78,11 @@
                 self.latencies_us.push(t.since(due).0 as u64)
             }
             RecordKind::Arrived { .. } => {
-                *self.in_flight.entry(part.clone()).or_default() += 1;
-                *self.arrivals.entry(part).or_default() += 1;
+                *self.in_flight.entry(component.clone()).or_default() += 1;
+                *self.arrivals.entry(component).or_default() += 1;
             }
             RecordKind::Refused { .. } | RecordKind::Finished { .. } | RecordKind::CallerGone { .. } => {
-                *self.in_flight.entry(part).or_default() -= 1;
+                *self.in_flight.entry(component).or_default() -= 1;
             }
             RecordKind::MembershipView { proxy, there, dead, counted } => {
                 self.views.insert(proxy, (there.len(), dead.len(), counted));
@@ -94,16 +94,16 @@
             RecordKind::ProxyUp { proxy } => drop(self.states.insert(proxy, "up".to_string())),
             RecordKind::Started { warm, .. } => {
                 let state = if warm { "up" } else { "up, came back cold" };
-                self.states.insert(part, state.to_string());
+                self.states.insert(component, state.to_string());
             }
             RecordKind::Stopped { how } => {
-                self.in_flight.insert(part.clone(), 0);
-                self.states.insert(part, how);
+                self.in_flight.insert(component.clone(), 0);
+                self.states.insert(component, how);
             }
             RecordKind::Fault { text, on, .. } => {
-                if let Some((kind, part)) = text.split_once(' ') {
-                    let state = if on { kind.to_lowercase() } else { "up".to_string() };
-                    self.states.insert(part.to_string(), state);
+                if let Some((fault, component)) = text.split_once(' ') {
+                    let state = if on { fault.to_lowercase() } else { "up".to_string() };
+                    self.states.insert(component.to_string(), state);
                 }
             }
             _ => {}
--- a/crates/command/src/hold.rs
+++ b/crates/command/src/hold.rs
@@ -9,7 +9,7 @@
 
 use crate::CommandError;
 
-/// Executes `program` in place of this process, affinity_set to core `pin` if one is given.
+/// Executes `program` in place of this process, pinned to core `pin` if one is given.
 pub fn exec_with_parent(pin: Option<usize>, program: &[String]) -> Result<(), CommandError> {
     // The kernel kills this process when its parent ends: otherwise proxies keep running after the lab itself
     // is killed with SIGKILL.
@@ -17,8 +17,8 @@
     if let Some(pin) = pin {
         let mut cpu_set = CpuSet::new();
         cpu_set.set(pin);
-        let affinity_set = sched_setaffinity(None, &cpu_set);
-        affinity_set.map_err(|e| CommandError::usage(format!("cannot use core {pin}: {e}")))?;
+        let result = sched_setaffinity(None, &cpu_set);
+        result.map_err(|e| CommandError::usage(format!("cannot use core {pin}: {e}")))?;
     }
     let (program, arguments) =
         program.split_first().ok_or_else(|| CommandError::usage("no program given to run"))?;
--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -1,5 +1,5 @@
 //! `sparlug lab`: lists and runs scenarios, searches for schedules of faults that break a rule or a bound,
-//! and reports and comparisons results.
+//! and reports and compares results.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -119,7 +119,7 @@
             }
         }
         println!(
-            "{} schedules played, {} told nothing, {} break",
+            "{} schedules run, {} void, {} break a rule or a bound",
             outcome.played,
             outcome.void,
             outcome.found.len()
@@ -228,8 +228,8 @@
 }
 
 impl RunArguments {
-    /// Runs all files and reports the errors of all. The exit status is that of the worst: a broken rule (3)
-    /// outranks invalid input (2), that a failed run (1), and that a missed bound (4).
+    /// Runs all files and reports the errors of all. The exit status is that of the worst error; from worst
+    /// to least: a broken rule (3), invalid input (2), a failed run (1), a missed bound (4).
     fn run(&self) -> Result<(), CommandError> {
         let stop = install_stop_flag()?;
         let mut worst: Option<CommandError> = None;
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -74,7 +74,7 @@
     state_changes(records, name).into_iter().map(|(_, how)| how).collect()
 }
 
-/// When a proxy was first told by the agent that a backend drains, which is not `Ready` any more.
+/// When the agent first reported to a proxy that a backend is not `Ready` any more, because it drains.
 fn drain_notice_time(records: &[Record], name: &str) -> At {
     let found = records.iter().find(|record| {
         matches!(&record.kind, RecordKind::HealthReported { proxy, health, .. } if proxy == name && health != "Ready")
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -3,8 +3,8 @@
 
 usage: tools/fleet.py DIR [--by seconds] [--host NAME]
 
-DIR holds one `.log` a proxy, as the proxy writes it at SPARLUG_LOG=trace (at `info` only the modes are there, and
-the closing counters of proxies that were told to go). Tiers differ by their hosts.
+DIR holds one `.log` per proxy, written at SPARLUG_LOG=trace (logs at `info` contain only the changes of mode
+and the closing counters of proxies that were ordered to stop). Tiers are told apart by the names of their hosts.
 Lines of versions before December 2026, such as "forward ended", are counted too.
 """
 
@@ -50,12 +50,12 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("dir", type=pathlib.Path)
-    parser.add_argument("--by", type=float, default=1.0, help="seconds that a row of time stands for")
+    parser.add_argument("--by", type=float, default=1.0, help="length of a row of the time table, in seconds")
     parser.add_argument("--host", help="print every line about this host, of all proxies, in order of time")
     wanted = parser.parse_args()
     logs = sorted(wanted.dir.glob("*.log"))
     if not logs:
-        sys.exit(f"fleet.py: no .log in {wanted.dir}: wanted a folder with one log a proxy")
+        sys.exit(f"fleet.py: no .log in {wanted.dir}: expected a folder with one log per proxy")
 
     all_lines = sorted(
         ((at, path.stem, level, text, fields) for path in logs for at, level, text, fields in lines(path)),
