--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -93,7 +93,7 @@
             }
             RecordKind::ProxyUp { proxy } => drop(self.states.insert(proxy, "up".to_string())),
             RecordKind::Started { warm, .. } => {
-                let state = if warm { "up" } else { "up, came back cold" };
+                let state = if warm { "up" } else { "up, restarted cold" };
                 self.states.insert(component, state.to_string());
             }
             RecordKind::Stopped { how } => {
@@ -117,7 +117,7 @@
         let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         let (p50, p99) = (quantile_ms(0.5), quantile_ms(0.99));
         let mut output = format!(
-            "{seconds:>4} s   honoured {:>4}/s   turned back {:>3}/s   failed {:>3}/s   p50 {p50:>5.1} ms   p99 {p99:>5.1} ms\n",
+            "{seconds:>4} s   served {:>4}/s   refused {:>3}/s   failed {:>3}/s   p50 {p50:>5.1} ms   p99 {p99:>5.1} ms\n",
             self.served, self.refused, self.failed
         );
         for (host, state) in self.states.iter().filter(|(host, _)| host.contains("/s-")) {
@@ -130,7 +130,7 @@
                 let view = self.views.get(proxy).map_or(
                     "sees nobody yet".to_string(),
                     |(present, dead, member_count)| {
-                        format!("sees {present} there, {dead} dead, divides by {member_count}")
+                        format!("sees {present} present, {dead} dead, divides by {member_count}")
                     },
                 );
                 output += &format!("      {proxy:<10} {state:<6} {view}\n");
@@ -253,7 +253,7 @@
             if started_at.is_none() {
                 started_at = Some(At::now());
                 last_shown = Instant::now();
-                println!("A proxy before four backends serves on {}. Ask it:\n", self.listen);
+                println!("A proxy in front of four backends listens on {}. Send it requests:\n", self.listen);
                 println!("  curl -H \"Request-Id: $RANDOM$RANDOM\" http://{}/check-free", self.listen);
                 println!(
                     "  curl -X POST -H \"Request-Id: $RANDOM$RANDOM\" http://{}/book-slot\n",
