--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -26,10 +26,11 @@
     /// For a bridge: the one proxy that both sides reach.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub through: Option<String>,
-    /// Interval between the components that match: the fault begins at one after another.
+    /// Interval between the matching components: the fault begins at one after another. By default it begins
+    /// at all of them at once.
     #[serde(default, skip_serializing_if = "Micros::is_zero")]
     pub step: Micros,
-    /// Number of repetitions, and the interval between them.
+    /// How many times the fault occurs, and the interval between the beginnings.
     #[serde(default = "one_time", skip_serializing_if = "is_one_time")]
     pub times: u32,
     #[serde(default, skip_serializing_if = "Micros::is_zero")]
@@ -134,7 +135,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// From the side that opened the connection.
+    /// From the side that opened the connection; between proxies, from the first that is named to the others.
     Forth,
     Back,
 }
@@ -145,7 +146,7 @@
     // Backends.
     #[default]
     Stall,
-    /// Also for proxies, which are paused and resumed in turn.
+    /// Also for proxies, which are paused and resumed alternately.
     Slow,
     Crash,
     Drain,
@@ -180,9 +181,9 @@
     Kill,
     Term,
     Freeze,
-    /// Asked to exit, and started again once it has.
+    /// The proxy is asked to exit, and started again as soon as it has.
     Restart,
-    /// The proxy is absent before; from then on clients use it too.
+    /// The proxy is absent until the fault begins; from then on clients are spread over it too.
     Grow,
     /// The proxy leaves for good.
     Shrink,
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -110,7 +110,7 @@
     }
 
     /// The address at which clients reach a proxy of the first tier.
-    fn front(&self, n: usize) -> SocketAddr {
+    fn client_address(&self, n: usize) -> SocketAddr {
         self.address(0, if self.scenario.client_behavior.link.is_some() { 'c' } else { 'p' }, n)
     }
 
@@ -214,7 +214,8 @@
                     let config = self.options.dir.join(format!("{}-p-{n}.{extension}", tier.name));
                     let (name, address) = (self.name(t, 'p', n), self.address(t, 'p', n));
                     self.agent_addresses.insert((t, n), self.address(t, 'a', n));
-                    // Another program on that address would answer in the proxy's place.
+                    // Checks that the address is free: another program that listens on it would answer in the
+                    // proxy's place.
                     let listener = std::net::TcpListener::bind(address);
                     listener.map_err(|e| {
                         Failure::InvalidInput(format!("{name} cannot listen on {address}: {e}"))
@@ -349,11 +350,12 @@
         let tier = &self.scenario.tiers[t];
         if tier.balance != Balance::Sparlug {
             let spec = Spec::Balancer(self.baseline_spec(t, n, restarted, known));
-            let peer =
+            let component =
                 ComponentHandle::spawn_process(spec, &self.options.program, &records_path(&self.options.dir));
-            let process = peer.map_err(Failure::InvalidInput)?.into_process();
-            let (child, input) =
-                process.ok_or_else(|| Failure::Environment("a stand-in has no input".to_string()))?;
+            let process = component.map_err(Failure::InvalidInput)?.into_process();
+            let (child, input) = process.ok_or_else(|| {
+                Failure::Environment("a stand-in balancer's process has no standard input".to_string())
+            })?;
             let proxy = &mut self.proxies[index];
             proxy.set_started(child, Some(input));
             for entry in (0..tier.backends).map(|n| self.entries[&(t, n)].clone()) {
@@ -392,8 +394,9 @@
         Ok(())
     }
 
-    /// Checks the proxies' processes and handles what changed.
-    fn check_processes(&mut self, building: bool) -> Result<(), Failure> {
+    /// Checks the proxies' processes and handles what changed. A crash while the deployment starts up ends
+    /// the run.
+    fn check_processes(&mut self, starting_up: bool) -> Result<(), Failure> {
         let now = At::now();
         for index in 0..self.proxies.len() {
             let change = self.proxies[index].poll(now);
@@ -406,8 +409,8 @@
                         self.set_client_target(&proxy, true);
                     }
                 }
-                StateChange::Stopped => self.start_if_wanted(index)?,
-                StateChange::Crashed(how) if building => {
+                StateChange::Stopped => self.start_if_deployed(index)?,
+                StateChange::Crashed(how) if starting_up => {
                     return Err(Failure::InvalidInput(format!("{proxy} ended at its start ({how})")));
                 }
                 StateChange::Crashed(how) => {
@@ -423,8 +426,8 @@
         Ok(())
     }
 
-    /// Starts a stopped proxy that is part of the deployment, unless a fault keeps it stopped.
-    fn start_if_wanted(&mut self, index: usize) -> Result<(), Failure> {
+    /// Starts a stopped proxy if it is part of the deployment and no fault keeps it stopped.
+    fn start_if_deployed(&mut self, index: usize) -> Result<(), Failure> {
         let proxy = &self.proxies[index];
         let idle = matches!(proxy.state, ProcessState::Stopped | ProcessState::NotDeployed);
         if !(idle && proxy.deployed && proxy.stop_faults.is_empty()) {
@@ -515,7 +518,7 @@
                 let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
                 self.proxies[index].stop_faults.remove(&fault_id);
                 self.proxies[index].known_backends = known;
-                self.start_if_wanted(index)?;
+                self.start_if_deployed(index)?;
             }
             FaultStep::PauseProxy { proxy, share, fault_id } => {
                 let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
@@ -530,7 +533,7 @@
             FaultStep::AddProxy { proxy } => {
                 let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
                 self.proxies[index].deployed = true;
-                self.start_if_wanted(index)?;
+                self.start_if_deployed(index)?;
             }
             FaultStep::RemoveProxy { proxy } => {
                 let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
@@ -580,7 +583,7 @@
             Balance::Direct => {
                 (0..front.backends).map(|n| (self.name(0, 's', n), self.entries[&(0, n)].address)).collect()
             }
-            _ => (0..front.proxies).map(|n| (self.name(0, 'p', n), self.front(n))).collect(),
+            _ => (0..front.proxies).map(|n| (self.name(0, 'p', n), self.client_address(n))).collect(),
         };
         let absent = scenario.initially_absent(0).into_iter().map(|n| self.name(0, 'p', n)).collect();
         // Drawn before the start time is set, since drawing may take a while.
@@ -630,8 +633,8 @@
             }
             progress(At::now().since(self.start).secs() / scenario.duration.secs());
             let mut finished = At::now() > last;
-            for (name, peer) in &mut self.components {
-                if peer.has_exited() {
+            for (name, component) in &mut self.components {
+                if component.has_exited() {
                     match name.as_str() {
                         "callers" => finished = true,
                         // A fault killed the process of a backend that has its own.
@@ -663,8 +666,8 @@
         // Clients first; all components are stopped even if one has panicked.
         let mut components = std::mem::take(&mut self.components);
         let clients = components.remove("callers");
-        for peer in clients.into_iter().chain(components.into_values()) {
-            result = result.and(peer.stop().map_err(Failure::Environment));
+        for component in clients.into_iter().chain(components.into_values()) {
+            result = result.and(component.stop().map_err(Failure::Environment));
         }
         result
     }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Whether a tier's proxies are processes of their own: the program always, a stand-in if a fault needs
-    /// it.
+    /// Whether a tier's proxies are processes of their own: the proxy under test always, a stand-in balancer
+    /// only if a fault of the scenario needs a process to act on.
     pub fn has_processes(&self, tier: usize) -> bool {
         let needs_process = |fault: &Fault| {
             let parts = self.components(&fault.part);
@@ -194,7 +194,7 @@
                 all.extend(found);
             }
             if all.is_empty() {
-                return Err(format!("{field}: nobody is on it"));
+                return Err(format!("{field}: no proxy is on this side"));
             }
             sides.push(all);
         }
@@ -251,7 +251,7 @@
         let is_share = |share: Option<f64>| share.is_none_or(|share| (0.0..=1.0).contains(&share));
         let why = match fault.kind {
             FaultKind::Herd if fault.duration.is_some() => {
-                "a herd has no length: it is gone and comes back at once"
+                "a herd has no duration: all clients reconnect at once"
             }
             FaultKind::Partition if !(2..=3).contains(&sides) => "sides: wanted two or three",
             FaultKind::Bridge if sides != 2 => "sides: wanted two",
@@ -269,6 +269,7 @@
         Err(why.to_string())
     }
 
+    /// The components of the scenario as patterns, for error messages.
     pub fn component_ranges(&self) -> Vec<String> {
         let kinds = |tier: usize| "spalcw".chars().map(move |letter| (tier, letter));
         let all = (0..self.tiers.len())
@@ -280,6 +281,7 @@
         all.map(named).chain(["callers".to_string()]).collect()
     }
 
+    /// Scales the duration and all times of faults, rate steps and cold starts, for the short form.
     pub fn scale_times(&mut self, by: f64) {
         self.duration = self.duration.scaled(by);
         for fault in &mut self.faults {
