--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -74,7 +74,7 @@
             RecordKind::ResponseReceived { .. }
             | RecordKind::ConnectionLost { .. }
             | RecordKind::GaveUp { .. } => self.failed += 1,
-            RecordKind::IntentFinished { due, honoured: true, .. } => {
+            RecordKind::IntentFinished { due, served: true, .. } => {
                 self.latencies_us.push(t.since(due).0 as u64)
             }
             RecordKind::Arrived { .. } => {
@@ -84,8 +84,8 @@
             RecordKind::Refused { .. } | RecordKind::Finished { .. } | RecordKind::CallerGone { .. } => {
                 *self.in_flight.entry(component).or_default() -= 1;
             }
-            RecordKind::MembershipView { proxy, there, dead, counted } => {
-                self.views.insert(proxy, (there.len(), dead.len(), counted));
+            RecordKind::MembershipView { proxy, present, dead, member_count } => {
+                self.views.insert(proxy, (present.len(), dead.len(), member_count));
             }
             RecordKind::ProxyDown { proxy, how } => {
                 self.views.remove(&proxy);
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -110,7 +110,7 @@
     // proxies, more for those that were started later.
     let not_served = records
         .iter()
-        .filter(|record| matches!(record.kind, RecordKind::IntentFinished { honoured: false, .. }))
+        .filter(|record| matches!(record.kind, RecordKind::IntentFinished { served: false, .. }))
         .count();
     assert_eq!(not_served, 0);
 }
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -160,7 +160,7 @@
         self.cold_since = (!warm).then(At::now);
         (self.draining, self.shutting_down) = (false, false);
         self.arrivals.clear();
-        event_loop.record(RecordKind::Started { warm, life: self.generation });
+        event_loop.record(RecordKind::Started { warm, generation: self.generation });
         Ok(())
     }
 
@@ -420,7 +420,7 @@
             Err(_) => return self.respond(event_loop, number, 500),
         };
         event_loop.write(conn, &bytes);
-        event_loop.record(RecordKind::CallSent { id, by, to, cut_off: deadline });
+        event_loop.record(RecordKind::CallSent { id, by, to, deadline });
         self.calls.insert(conn, number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.open_call = Some(conn);
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -289,8 +289,8 @@
             class: class.name,
             to,
             due,
-            cut_off: deadline,
-            try_no: retry_number,
+            deadline,
+            retry_number,
         });
         if impatient {
             event_loop.schedule_at(
@@ -363,8 +363,8 @@
             intent: intent as u64,
             class,
             due,
-            honoured: served,
-            tries: retry_number + 1,
+            served,
+            attempts: retry_number + 1,
         });
         self.open_intents -= 1;
         if self.spec.closed_loop_clients > 0 {
--- a/crates/lab/src/fault_steps.rs
+++ b/crates/lab/src/fault_steps.rs
@@ -68,7 +68,7 @@
         text: String,
         on: bool,
         kind: FaultKind,
-        part: String,
+        affected: String,
     },
 }
 
@@ -125,10 +125,11 @@
 fn push_record_steps(
     kind: FaultKind,
     (at, end): ActivePeriod,
-    (text, part): (String, String),
+    (text, affected): (String, String),
     steps: &mut Vec<(Micros, FaultStep)>,
 ) {
-    let record_fault = |on| FaultStep::RecordFault { text: text.clone(), on, kind, part: part.clone() };
+    let record_fault =
+        |on| FaultStep::RecordFault { text: text.clone(), on, kind, affected: affected.clone() };
     steps.push((at, record_fault(true)));
     steps.extend(end.map(|end| (end, record_fault(false))));
 }
--- a/crates/lab/src/fleet_figures.rs
+++ b/crates/lab/src/fleet_figures.rs
@@ -28,11 +28,11 @@
 pub fn dead(records: &[Record], end: At) -> Spans {
     let mut spans = Spans::new();
     for record in records {
-        let RecordKind::Fault { on, fault: Some(fault), befalls, .. } = &record.kind else { continue };
+        let RecordKind::Fault { on, fault: Some(fault), affected, .. } = &record.kind else { continue };
         if !fault.prevents_responses() {
             continue;
         }
-        let own = spans.entry(befalls.clone()).or_default();
+        let own = spans.entry(affected.clone()).or_default();
         match own.last_mut().filter(|(_, to)| *to == end) {
             None if *on => own.push((record.t, end)),
             Some(last) if !*on => last.1 = record.t,
@@ -132,15 +132,15 @@
                     events.attempts.push((t, proxy, &record.component));
                 }
             }
-            RecordKind::IntentFinished { due, honoured, .. } => events.intents.push((*due, *honoured)),
-            RecordKind::Fault { on: begins, fault, befalls, text } => {
-                events.affected.insert(befalls);
+            RecordKind::IntentFinished { due, served, .. } => events.intents.push((*due, *served)),
+            RecordKind::Fault { on: begins, fault, affected, text } => {
+                events.affected.insert(affected);
                 if *begins {
                     events.first_fault.get_or_insert(t);
                 }
                 *active_faults.entry(text).or_default() += if *begins { 1 } else { -1 };
                 if fault.is_some_and(|fault| fault.changes_membership()) && t < end {
-                    events.membership_changes.push((t, befalls));
+                    events.membership_changes.push((t, affected));
                 }
             }
             RecordKind::ProxyDown { proxy, how } => {
@@ -213,8 +213,7 @@
     fn served_share(&self, from: At, to: At) -> Option<f64> {
         let index_at = |at: At| self.intents.partition_point(|(due, _)| *due < at);
         let own = &self.intents[index_at(from)..index_at(to).max(index_at(from))];
-        (own.len() >= 5)
-            .then(|| own.iter().filter(|(_, honoured)| *honoured).count() as f64 / own.len() as f64)
+        (own.len() >= 5).then(|| own.iter().filter(|(_, served)| *served).count() as f64 / own.len() as f64)
     }
 
     fn recovery_s(&self) -> f64 {
--- a/crates/lab/src/fleet_poller.rs
+++ b/crates/lab/src/fleet_poller.rs
@@ -64,7 +64,7 @@
             members.filter(|member| member["state"].as_str().is_some_and(|state| states.contains(&state)));
         found.filter_map(|member| Some(member["name"].as_str()?.to_string())).collect()
     };
-    let (there, dead) = (names_in_state(&["alive", "suspect"]), names_in_state(&["dead"]));
+    let (present, dead) = (names_in_state(&["alive", "suspect"]), names_in_state(&["dead"]));
     let took = At::now().since(requested_at).0;
     let duties = json["duties"].as_array().into_iter().flatten();
     let held = duties.filter(|duty| duty["held_here"] == true).filter_map(|duty| {
@@ -73,9 +73,9 @@
     });
     let view = RecordKind::MembershipView {
         proxy: proxy.to_string(),
-        there,
+        present,
         dead,
-        counted: json["counted"].as_u64()?,
+        member_count: json["counted"].as_u64()?,
     };
     Some(std::iter::once(view).chain(held).collect())
 }
--- a/crates/lab/src/membership_figures.rs
+++ b/crates/lab/src/membership_figures.rs
@@ -72,8 +72,8 @@
     let history = history(records, end);
     let mut views: BTreeMap<&str, ProxyViews> = BTreeMap::new();
     for record in records {
-        if let RecordKind::MembershipView { proxy, there, dead, counted } = &record.kind {
-            views.entry(proxy).or_default().push((record.t, there, dead, *counted));
+        if let RecordKind::MembershipView { proxy, present, dead, member_count } = &record.kind {
+            views.entry(proxy).or_default().push((record.t, present, dead, *member_count));
         }
     }
     figures.agree_s = -1.0;
@@ -89,7 +89,7 @@
                 continue;
             }
             let mut later = views.iter().filter(|(t, ..)| t > at && *t < back);
-            let first = later.find(|(_, there, ..)| !there.contains(name)).map_or(back, |(t, ..)| *t);
+            let first = later.find(|(_, present, ..)| !present.contains(name)).map_or(back, |(t, ..)| *t);
             detection_s.push(first.since(*at).secs());
         }
     }
@@ -114,8 +114,8 @@
     let last = history.last_change.max(start);
     let running: BTreeSet<&String> = history.up.iter().collect();
     let agreed = |views: &ProxyViews| {
-        let right = |there: &[String]| there.iter().collect::<BTreeSet<_>>() == running;
-        let wrong = views.iter().rev().find(|(t, there, ..)| *t > last && !right(there));
+        let right = |present: &[String]| present.iter().collect::<BTreeSet<_>>() == running;
+        let wrong = views.iter().rev().find(|(t, present, ..)| *t > last && !right(present));
         let after = |at: At| views.iter().find(|(t, ..)| *t > at).map_or(end, |(t, ..)| *t);
         wrong.map_or(after(last), |(t, ..)| after(*t)).since(last).secs()
     };
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -31,8 +31,11 @@
         class: String,
         to: String,
         due: At,
-        cut_off: At,
-        try_no: u16,
+        #[serde(rename = "cut_off")]
+        deadline: At,
+        /// 0 for the first attempt.
+        #[serde(rename = "try_no")]
+        retry_number: u16,
     },
     /// The same request is sent again, since its kept-alive connection closed before any byte of a response.
     #[serde(rename = "sent_again")]
@@ -69,20 +72,23 @@
         id: String,
         bytes: usize,
     },
-    /// A client's intent (a planned request with its retries) ended, served (`honoured`) or not.
+    /// A client's intent (a planned request with its retries) ended, served or not.
     #[serde(rename = "over")]
     IntentFinished {
         intent: u64,
         class: String,
         due: At,
-        honoured: bool,
-        tries: u16,
+        #[serde(rename = "honoured")]
+        served: bool,
+        #[serde(rename = "tries")]
+        attempts: u16,
     },
 
     /// A backend's process started, cold unless `warm` is set.
     Started {
         warm: bool,
-        life: u32,
+        #[serde(rename = "life")]
+        generation: u32,
     },
     Stopped {
         how: String,
@@ -118,7 +124,8 @@
         id: String,
         by: String,
         to: String,
-        cut_off: At,
+        #[serde(rename = "cut_off")]
+        deadline: At,
     },
     CallEnded {
         id: String,
@@ -164,8 +171,9 @@
         on: bool,
         #[serde(default)]
         fault: Option<FaultKind>,
-        #[serde(default)]
-        befalls: String,
+        /// The affected component, or the pattern of the affected components.
+        #[serde(default, rename = "befalls")]
+        affected: String,
     },
     /// A connection through a link could not be established on its far side.
     #[serde(rename = "not_up")]
@@ -184,9 +192,11 @@
     #[serde(rename = "view")]
     MembershipView {
         proxy: String,
-        there: Vec<String>,
+        #[serde(rename = "there")]
+        present: Vec<String>,
         dead: Vec<String>,
-        counted: u64,
+        #[serde(rename = "counted")]
+        member_count: u64,
     },
     /// A proxy reported that it holds a duty; its response took `took` microseconds.
     #[serde(rename = "duty")]
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -84,7 +84,7 @@
     class: String,
     to: String,
     sent: At,
-    cut_off: At,
+    deadline: At,
     responses: Vec<(At, u16)>,
     lost: Option<(At, String)>,
     gave_up: Option<(At, bool)>,
@@ -143,15 +143,16 @@
         let t = *t;
         self.end = self.end.max(t);
         match what {
-            RecordKind::Sent { id, class, to, cut_off, .. } => {
+            RecordKind::Sent { id, class, to, deadline, .. } => {
                 let request = self.request(id);
-                (request.class, request.to, request.sent, request.cut_off, request.accepted) =
-                    (class.clone(), to.clone(), t, *cut_off, true);
+                (request.class, request.to, request.sent, request.deadline, request.accepted) =
+                    (class.clone(), to.clone(), t, *deadline, true);
             }
-            RecordKind::CallSent { id, to, cut_off, .. } => {
+            RecordKind::CallSent { id, to, deadline, .. } => {
                 let (class, part) = (id.clone(), part.clone());
                 let request = self.request(id);
-                (request.class, request.to, request.sent, request.cut_off) = (class, to.clone(), t, *cut_off);
+                (request.class, request.to, request.sent, request.deadline) =
+                    (class, to.clone(), t, *deadline);
                 (request.caller, request.accepted) = (Some(part), true);
             }
             RecordKind::ResponseReceived { id, status, .. } => self.request(id).responses.push((t, *status)),
@@ -307,11 +308,11 @@
         return breach(request.responses[1].0, format!("{} answers", request.responses.len()));
     }
     if let Some((at, status)) = request.responses.first() {
-        if *at > request.cut_off + tolerance {
+        if *at > request.deadline + tolerance {
             if log.excused(request, *at) {
                 verdict.excused += 1;
             } else {
-                let late = at.since(request.cut_off);
+                let late = at.since(request.deadline);
                 breach(*at, format!("status {status} came {late} after the cut-off"));
             }
         }
@@ -326,7 +327,7 @@
     let left = request.caller.is_some() && request.lost.is_none();
     if log.excused(request, end) {
         verdict.excused += 1;
-    } else if left && (end < request.cut_off + tolerance || parent_client_gone(log, id)) {
+    } else if left && (end < request.deadline + tolerance || parent_client_gone(log, id)) {
         // No response was due any more, or the call is not over yet.
     } else if let Some((at, how)) = &request.lost {
         let kept = how.contains("kept") || request.caller.is_some();
@@ -335,7 +336,7 @@
         } else {
             breach(*at, format!("no answer: {how}"));
         }
-    } else if log.end > request.cut_off + tolerance {
+    } else if log.end > request.deadline + tolerance {
         breach(end, "no answer by the cut-off, nor after".to_string());
     }
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -476,9 +476,8 @@
 
     fn apply_step(&mut self, step: FaultStep) -> Result<(), Failure> {
         match step {
-            FaultStep::RecordFault { text, on, kind, part } => {
-                self.recorder
-                    .write(At::now(), RecordKind::Fault { text, on, fault: Some(kind), befalls: part });
+            FaultStep::RecordFault { text, on, kind, affected } => {
+                self.recorder.write(At::now(), RecordKind::Fault { text, on, fault: Some(kind), affected });
             }
             FaultStep::SendCommand(name, command) => self.send(&name, command),
             FaultStep::SetHealth { tier, n, health } => self.set_backend_health(tier, n, health),
--- a/crates/lab/src/run_figures.rs
+++ b/crates/lab/src/run_figures.rs
@@ -22,14 +22,14 @@
     let lowest_tier_prefix = scenario.tiers.last().map(|tier| format!("{}/", tier.name)).unwrap_or_default();
     for record in records {
         match &record.kind {
-            RecordKind::IntentFinished { due, honoured, .. } => {
+            RecordKind::IntentFinished { due, served, .. } => {
                 figures.intents += 1;
-                figures.honoured += u64::from(*honoured);
+                figures.honoured += u64::from(*served);
                 if *due >= end_from {
                     end_intents += 1;
-                    end_served += u64::from(*honoured);
+                    end_served += u64::from(*served);
                 }
-                if *honoured {
+                if *served {
                     let _ = latencies.record(record.t.since(*due).0.max(1) as u64);
                 }
             }
@@ -114,7 +114,7 @@
             RecordKind::ResponseReceived { status: 429 | 503, .. } => slices[n].turned_back += 1,
             RecordKind::ResponseReceived { .. } => slices[n].forfeited += 1,
             RecordKind::ConnectionLost { .. } | RecordKind::GaveUp { own: false, .. } => slices[n].lost += 1,
-            RecordKind::IntentFinished { due, honoured: true, .. } => {
+            RecordKind::IntentFinished { due, served: true, .. } => {
                 let _ = latencies[n].record(record.t.since(*due).0.max(1) as u64);
             }
             RecordKind::Arrived { .. } => *held.entry(&record.component).or_default() += 1,
--- a/crates/lab/tests/fleet_figures.rs
+++ b/crates/lab/tests/fleet_figures.rs
@@ -45,30 +45,30 @@
 /// The records of a client's request to a proxy and its arrival at a backend.
 fn request_to_backend(ms: i64, n: usize, proxy: &str, host: &str) -> [Record; 2] {
     let (id, class) = (format!("{ms}-{n}-{proxy}"), "read".to_string());
-    let (due, cut_off) = (At(ms * 1000), At(ms * 1000 + 500_000));
+    let (due, deadline) = (At(ms * 1000), At(ms * 1000 + 500_000));
     let sent = RecordKind::Sent {
         id: id.clone(),
         intent: 1,
         class: class.clone(),
         to: proxy.into(),
         due,
-        cut_off,
-        try_no: 0,
+        deadline,
+        retry_number: 0,
     };
     [record(ms, "callers", sent), record(ms, host, RecordKind::Arrived { id, first: due, class })]
 }
 
 fn fault(ms: i64, kind: FaultKind, part: &str, on: bool) -> Record {
-    let (text, befalls) = (format!("{kind:?} {part}"), part.to_string());
-    record(ms, "lab", RecordKind::Fault { text, on, fault: Some(kind), befalls })
+    let (text, affected) = (format!("{kind:?} {part}"), part.to_string());
+    record(ms, "lab", RecordKind::Fault { text, on, fault: Some(kind), affected })
 }
 
-fn intent_finished(ms: i64, honoured: bool) -> Record {
+fn intent_finished(ms: i64, served: bool) -> Record {
     let class = "read".to_string();
     record(
         ms + 10,
         "callers",
-        RecordKind::IntentFinished { intent: 1, class, due: At(ms * 1000), honoured, tries: 1 },
+        RecordKind::IntentFinished { intent: 1, class, due: At(ms * 1000), served, attempts: 1 },
     )
 }
 
@@ -94,7 +94,7 @@
 
 #[test]
 fn cold_load_is_the_sum_from_all_proxies_relative_to_capacity() {
-    let mut records = vec![record(1000, "front/s-1", RecordKind::Started { warm: false, life: 2 })];
+    let mut records = vec![record(1000, "front/s-1", RecordKind::Started { warm: false, generation: 2 })];
     // Two proxies send 80 requests each, evenly over 1.5 s; this backend of size 2 handles 1.5 / 0.02 x 2
     // requests in that time, multiplied by its warm-up ratio.
     for proxy in ["front/p-0", "front/p-1"] {
--- a/crates/lab/tests/parts.rs
+++ b/crates/lab/tests/parts.rs
@@ -192,15 +192,15 @@
 #[test]
 fn latencies_count_from_the_due_time_and_bounds_report_misses() {
     let scenario = parse(calm_scenario()).unwrap().scenario(None, false).unwrap();
-    let over = |t, due, honoured| Record {
+    let over = |t, due, served| Record {
         t: At(t),
         component: "callers".into(),
         kind: RecordKind::IntentFinished {
             intent: 1,
             class: "read".into(),
             due: At(due),
-            honoured,
-            tries: 1,
+            served,
+            attempts: 1,
         },
     };
     // 900 ms from the due time, whether or not a stalled client sent it late.
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -58,8 +58,8 @@
 
 fn sent(ms: i64, id: &str, class: &str) -> Record {
     let (id, class, to) = (id.to_string(), class.to_string(), PROXY.to_string());
-    let (due, cut_off) = (at(ms), at(ms) + Micros::from_millis(500));
-    record(ms, "callers", RecordKind::Sent { id, intent: 1, class, to, due, cut_off, try_no: 0 })
+    let (due, deadline) = (at(ms), at(ms) + Micros::from_millis(500));
+    record(ms, "callers", RecordKind::Sent { id, intent: 1, class, to, due, deadline, retry_number: 0 })
 }
 
 fn response_received(ms: i64, id: &str, status: u16) -> Record {
@@ -141,7 +141,7 @@
         assert_eq!(broken_rules(case), [Rule::OneResponse], "{case:?}");
     }
     let call =
-        RecordKind::CallSent { id: "a.b.1".into(), by: "a".into(), to: "core/p-0".into(), cut_off: at(500) };
+        RecordKind::CallSent { id: "a.b.1".into(), by: "a".into(), to: "core/p-0".into(), deadline: at(500) };
     let ended = RecordKind::CallEnded { id: "a.b.1".into(), status: 0 };
     let of_a_call = [
         sent(0, "a", "read"),
@@ -230,7 +230,7 @@
         id: id.into(),
         by: "a".into(),
         to: "core/p-0".into(),
-        cut_off: at(500),
+        deadline: at(500),
     };
     let ended = RecordKind::CallEnded { id: "a.b.1".into(), status: 200 };
     let lower_tier_twice = [
@@ -289,7 +289,7 @@
 #[test]
 fn overload_of_a_cold_backend_is_detected_but_not_of_a_warm_one() {
     let offer = |warm: bool, from: i64, every_ms: i64| {
-        let start = record(0, "front/s-1", RecordKind::Started { warm, life: 2 });
+        let start = record(0, "front/s-1", RecordKind::Started { warm, generation: 2 });
         let all = (0..1000).map(|n| arrived(from + n * every_ms, "front/s-1", &format!("x{n}")));
         broken_rules(&[vec![start], all.collect()].concat())
     };
@@ -325,9 +325,9 @@
 #[test]
 fn a_timeline_contains_all_records_of_a_request_and_its_calls() {
     let call =
-        RecordKind::CallSent { id: "a.b.1".into(), by: "a".into(), to: "core/p-0".into(), cut_off: at(500) };
+        RecordKind::CallSent { id: "a.b.1".into(), by: "a".into(), to: "core/p-0".into(), deadline: at(500) };
     let fault =
-        RecordKind::Fault { text: "Stall front/s-1".into(), on: true, fault: None, befalls: String::new() };
+        RecordKind::Fault { text: "Stall front/s-1".into(), on: true, fault: None, affected: String::new() };
     let records = [
         record(0, "lab", fault),
         sent(10, "a", "write"),
