--- a/crates/lab/src/arrivals.rs
+++ b/crates/lab/src/arrivals.rs
@@ -24,7 +24,8 @@
     pub impatient: bool,
     pub slow_read: bool,
     pub slow_send: bool,
-    pub bad: bool,
+    #[serde(rename = "bad")]
+    pub malformed: bool,
 }
 
 fn rate_at(load: &Load, at: Micros) -> f64 {
@@ -75,7 +76,7 @@
         }
     }
     let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
-    let callers = &scenario.client_behavior;
+    let behavior = &scenario.client_behavior;
     let intent = |at| {
         let mut remaining = rng.random::<f64>() * shares;
         let class = scenario.classes.iter().position(|class| {
@@ -84,9 +85,9 @@
         });
         let client = if rng.random::<f64>() < load.hot { 0 } else { rng.random_range(0..load.clients) };
         let mut draw = |share: f64| rng.random::<f64>() < share;
-        let (impatient, slow_read) = (draw(callers.impatient), draw(callers.slow_read));
-        let (slow_send, bad) = (draw(callers.slow_send), draw(callers.bad));
-        Intent { at, class: class.unwrap_or(0), client, impatient, slow_read, slow_send, bad }
+        let (impatient, slow_read) = (draw(behavior.impatient), draw(behavior.slow_read));
+        let (slow_send, malformed) = (draw(behavior.slow_send), draw(behavior.malformed));
+        Intent { at, class: class.unwrap_or(0), client, impatient, slow_read, slow_send, malformed }
     };
     times.into_iter().map(intent).collect()
 }
@@ -121,8 +122,9 @@
 pub fn digest(intents: &[Intent]) -> u64 {
     let step = |sum: u64, part: u64| (sum ^ part).wrapping_mul(0x0000_0100_0000_01b3);
     intents.iter().fold(0xcbf2_9ce4_8422_2325, |sum, i| {
-        let flags =
-            [i.impatient, i.slow_read, i.slow_send, i.bad].iter().fold(0, |sum, f| sum * 2 + u64::from(*f));
+        let flags = [i.impatient, i.slow_read, i.slow_send, i.malformed]
+            .iter()
+            .fold(0, |sum, f| sum * 2 + u64::from(*f));
         [i.at.0 as u64, i.class as u64, i.client as u64, flags].into_iter().fold(sum, step)
     })
 }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -175,7 +175,7 @@
     fn start_intent(&mut self, event_loop: &mut Loop, intent: usize, due: At) {
         self.first_due.insert(intent, due);
         self.open_intents += 1;
-        if self.spec.intents[intent].bad {
+        if self.spec.intents[intent].malformed {
             return self.send_malformed(event_loop, intent);
         }
         self.start_attempt(event_loop, intent, 0);
@@ -189,10 +189,10 @@
         let Some(target) = self.choose_target(intent, event_loop.now) else {
             return self.fail_unsent(event_loop, intent, retry_number, "no target is up");
         };
-        let keep = self.spec.behavior.keep;
+        let keep_alive = self.spec.behavior.keep_alive;
         let pooled =
             std::iter::from_fn(|| self.targets[target].pool.pop()).find(|conn| event_loop.is_open(*conn));
-        let pooled = pooled.filter(|_| keep);
+        let pooled = pooled.filter(|_| keep_alive);
         if let Some(conn) = pooled {
             self.idle.remove(&conn);
         }
@@ -238,7 +238,7 @@
         let class = self.class(intent).clone();
         let mut headers = vec![("Request-Id", id), ("Request-Class", class.name.clone())];
         headers.push(("Request-Timeout", format!("{:.3}", class.deadline.secs())));
-        if self.spec.behavior.marks && attempt.retry_number > 0 {
+        if self.spec.behavior.marks_retries && attempt.retry_number > 0 {
             headers.push(("Client-Retry", "1".to_string()));
         }
         let needs_post = class.effect != Effect::Safe;
@@ -319,7 +319,7 @@
         if extra_bytes > 0 {
             event_loop.record(RecordKind::UnsolicitedBytes { id: attempt.id.clone(), bytes: extra_bytes });
             event_loop.close(conn);
-        } else if response.closes() || !self.spec.behavior.keep {
+        } else if response.closes() || !self.spec.behavior.keep_alive {
             self.idle.insert(conn, usize::MAX);
             event_loop.schedule_after(Micros::from_millis(200), TimerEvent::Close(conn));
         } else {
@@ -349,7 +349,7 @@
         {
             return self.finish(event_loop, intent, retry_number, false);
         }
-        let obeys_retry_after = self.rng.random::<f64>() < self.spec.behavior.honour;
+        let obeys_retry_after = self.rng.random::<f64>() < self.spec.behavior.retry_after_share;
         let backoff = self.spec.behavior.backoff.scaled(f64::from(1u32 << retry_number.min(8)));
         let backoff = backoff.scaled(0.5 + self.rng.random::<f64>());
         let wait = retry_after_ms.filter(|_| obeys_retry_after).map_or(backoff, Micros::from_ms);
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -342,22 +342,28 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientBehavior {
-    /// Retries of requests that were refused or may be repeated.
+    /// The most retries of a request that was refused or may be repeated.
     pub retries: u16,
     pub backoff: Micros,
-    /// Share of the retries that waits as long as `Retry-After` says.
-    pub honour: f64,
-    pub marks: bool,
+    /// Share of the retries that waits as long as `Retry-After` says; the others wait for the backoff.
+    #[serde(rename = "honour")]
+    pub retry_after_share: f64,
+    /// Whether retries carry the header `Client-Retry`.
+    #[serde(rename = "marks")]
+    pub marks_retries: bool,
     /// Whether connections are kept for the next request.
-    pub keep: bool,
+    #[serde(rename = "keep")]
+    pub keep_alive: bool,
     /// Share of the requests whose client leaves early, and the share of the deadline after which it does.
     pub impatient: f64,
     pub leave_at: f64,
-    /// Shares of the requests whose client reads the response, or sends the request, a few bytes at a time.
+    /// Share of the requests whose client reads the response only after 0.3 of the deadline, and of those
+    /// whose client sends the request a few bytes at a time.
     pub slow_read: f64,
     pub slow_send: f64,
     /// Share of the requests that are malformed.
-    pub bad: f64,
+    #[serde(rename = "bad")]
+    pub malformed: f64,
     /// Connections that each send one request before the load begins and are idle after that.
     pub idle: usize,
     pub link: Option<Link>,
@@ -368,14 +374,14 @@
         ClientBehavior {
             retries: 0,
             backoff: Micros::from_millis(40),
-            honour: 1.0,
-            marks: false,
-            keep: true,
+            retry_after_share: 1.0,
+            marks_retries: false,
+            keep_alive: true,
             impatient: 0.0,
             leave_at: 0.5,
             slow_read: 0.0,
             slow_send: 0.0,
-            bad: 0.0,
+            malformed: 0.0,
             idle: 0,
             link: None,
         }
