--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -352,7 +352,8 @@
             let Some(number) = self.waiting.pop_front() else { return };
             let tier = &self.spec.tier;
             let load = self.jobs.len() as f64;
-            let crowding = 1.0 + ((load - tier.crowd_at as f64) / tier.crowd_at.max(1) as f64).max(0.0);
+            let crowding = 1.0
+                + ((load - tier.slowdown_threshold as f64) / tier.slowdown_threshold.max(1) as f64).max(0.0);
             let capacity_ratio = self.capacity_ratio(event_loop.now);
             let Some(job) = self.jobs.get_mut(&number) else { continue };
             let work = self
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -66,9 +66,10 @@
     pub cv: f64,
     /// Queue length; requests beyond it are refused.
     pub queue: usize,
-    /// Number of requests in progress from which a backend slows down: by its service time again for each
-    /// such number more.
-    pub crowd_at: usize,
+    /// Number of pending requests above which a backend slows down: service times are multiplied by the
+    /// number of pending requests divided by this.
+    #[serde(rename = "crowd_at")]
+    pub slowdown_threshold: usize,
     pub error_rate: f64,
     /// Whether it cancels requests whose client has gone.
     pub cancels: bool,
@@ -84,7 +85,8 @@
     pub idle: Micros,
     pub dial: Micros,
     /// Delay until the agents know of a change.
-    pub lag: Micros,
+    #[serde(rename = "lag")]
+    pub discovery_lag: Micros,
     pub drain_grace: Micros,
     #[serde(rename = "max_forwards")]
     pub max_attempts: u16,
@@ -101,7 +103,8 @@
     #[serde(rename = "plant")]
     pub seeded_defect: Option<SeededDefect>,
     /// Whether each backend is a process of its own, which a crash kills.
-    pub apart: bool,
+    #[serde(rename = "apart")]
+    pub own_process: bool,
     /// Number of zones that backends and proxies are spread over, and number of backends in a pod.
     pub zones: usize,
     pub pod: usize,
@@ -202,7 +205,7 @@
             distribution: Distribution::Lognormal,
             cv: 0.5,
             queue: 16,
-            crowd_at: 1000,
+            slowdown_threshold: 1000,
             error_rate: 0.0,
             cancels: true,
             cold_share: 0.35,
@@ -213,7 +216,7 @@
             calls: [0, 0],
             idle: Micros::from_millis(60_000),
             dial: Micros::from_millis(200),
-            lag: Micros::from_millis(100),
+            discovery_lag: Micros::from_millis(100),
             drain_grace: Micros::from_millis(400),
             max_attempts: 3,
             max_retry_after: Some(Micros::from_millis(600)),
@@ -222,7 +225,7 @@
             baseline_max_attempts: 3,
             baseline_attempt_timeout: None,
             seeded_defect: None,
-            apart: false,
+            own_process: false,
             zones: 1,
             pod: 4,
             sizes: Vec::new(),
--- a/crates/lab/src/fault_steps.rs
+++ b/crates/lab/src/fault_steps.rs
@@ -191,7 +191,7 @@
             push(at, set_health("Terminating"));
             // The backend stops accepting connections only after the announcement and the grace period are
             // certainly over.
-            let close_at = at + t.lag + t.drain_grace + Micros::from_millis(100);
+            let close_at = at + t.discovery_lag + t.drain_grace + Micros::from_millis(100);
             push(close_at, FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Drain)));
             if !fault.stays {
                 push(
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -152,7 +152,10 @@
     fn start_deployment(&mut self) -> Result<(), Failure> {
         for (t, tier) in self.scenario.tiers.iter().enumerate() {
             for n in 0..tier.backends {
-                self.start_component(Spec::Backend(Box::new(self.backend_spec(t, n, true))), tier.apart)?;
+                self.start_component(
+                    Spec::Backend(Box::new(self.backend_spec(t, n, true))),
+                    tier.own_process,
+                )?;
                 let mut address = self.address(t, 's', n);
                 if let Some(link) = tier.link {
                     let (name, listen) = (self.name(t, 'l', n), self.address(t, 'l', n));
@@ -176,7 +179,7 @@
                 let name = format!("{}/a", tier.name);
                 let entries = entries.clone();
                 self.start_component(
-                    Spec::Agent(agent::Spec { name, listen, entries, lag: tier.lag }),
+                    Spec::Agent(agent::Spec { name, listen, entries, lag: tier.discovery_lag }),
                     false,
                 )?;
             }
@@ -561,7 +564,7 @@
         if let (Some(to), true) = (address, scenario.tiers[tier].link.is_some()) {
             self.send(&self.name(tier, 'l', n), Command::Relay(relay::Command::SetTarget(to)));
         }
-        if scenario.tiers[tier].apart {
+        if scenario.tiers[tier].own_process {
             let mut spec = self.backend_spec(tier, n, false);
             spec.address = address.unwrap_or(spec.address);
             self.components.remove(name);
@@ -637,7 +640,7 @@
                     match name.as_str() {
                         "callers" => finished = true,
                         // A fault killed the process of a backend that has its own.
-                        _ if scenario.tiers.iter().any(|tier| tier.apart) => {}
+                        _ if scenario.tiers.iter().any(|tier| tier.own_process) => {}
                         _ => {
                             return Err(Failure::Environment(format!("{name} ended before the run was over")))
                         }
