--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -14,8 +14,8 @@
     /// The affected components, such as `front/s-0`, `front/s-0..3`, `front/s-0,2,5`, or `front/s-*` for all.
     /// Kinds: s backends, p proxies, a agents, l links before backends, c links before proxies, w the network
     /// paths between a proxy and the others. `callers` means the clients.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    pub part: String,
+    #[serde(default, rename = "part", skip_serializing_if = "String::is_empty")]
+    pub components: String,
     pub kind: FaultKind,
     /// Between proxies: the sides of a partition, each a list of proxies such as `front/p-0..3`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -49,12 +49,12 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub nth: Option<u64>,
     /// Whether the backend returns at another address.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub moves: bool,
+    #[serde(default, rename = "moves", skip_serializing_if = "is_false")]
+    pub changes_address: bool,
     /// For a drain: whether the process stays and refuses requests until the fault ends, instead of exiting
     /// once idle.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub stays: bool,
+    #[serde(default, rename = "stays", skip_serializing_if = "is_false")]
+    pub keeps_process: bool,
     /// For a link or for paths: the one direction that is affected.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub direction: Option<Direction>,
@@ -94,18 +94,24 @@
 
 impl Fault {
     /// A fault that begins when it is injected, by the name of its kind.
-    pub fn now(part: &str, kind: &str, duration: Micros) -> Option<Fault> {
+    pub fn now(components: &str, kind: &str, duration: Micros) -> Option<Fault> {
         let kind = serde_json::from_value(serde_json::Value::String(kind.to_string())).ok()?;
-        Some(Fault { part: part.to_string(), duration: Some(duration), kind, times: 1, ..Fault::default() })
+        Some(Fault {
+            components: components.to_string(),
+            duration: Some(duration),
+            kind,
+            times: 1,
+            ..Fault::default()
+        })
     }
 
     /// Its description in the records.
-    pub fn text(&self, part: &str) -> String {
+    pub fn text(&self, components: &str) -> String {
         let sides = |sides: &[Vec<String>]| {
             sides.iter().map(|side| side.join("+")).collect::<Vec<_>>().join(" from ")
         };
         match (&self.sides[..], &self.pairs[..]) {
-            ([], []) => format!("{:?} {part}", self.kind),
+            ([], []) => format!("{:?} {components}", self.kind),
             ([], pairs) => {
                 format!("{:?} {}", self.kind, sides(&pairs.iter().map(|p| p.to_vec()).collect::<Vec<_>>()))
             }
--- a/crates/lab/src/fault_schedule.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -128,7 +128,7 @@
     if range.kind == FaultKind::Grow || range.kind == FaultKind::Shrink {
         fault.duration = range.duration.map(|_| length);
     }
-    fault.part = name(letter, n);
+    fault.components = name(letter, n);
     let rounded = |value: f64| (value * 100.0).round() / 100.0;
     fault.amount = range.amounts(letter).map(|range| rounded(draw_between(rng, range)));
     fault.chance = range.chances().map(|range| rounded(draw_between(rng, range)));
@@ -136,7 +136,7 @@
         fault.known = [KnownBackends::Old, KnownBackends::Old, KnownBackends::None, KnownBackends::Now]
             [rng.random_range(0..4)];
     }
-    fault.stays = range.kind == FaultKind::Drain && rng.random::<f64>() < 0.75;
+    fault.keeps_process = range.kind == FaultKind::Drain && rng.random::<f64>() < 0.75;
     if letter == 'w' {
         fault.direction = [None, None, Some(Direction::Forth), Some(Direction::Back)][rng.random_range(0..4)];
     }
@@ -150,7 +150,7 @@
         if range.kind == FaultKind::Bridge {
             fault.through = Some(name('p', n));
         }
-        (fault.sides, fault.part) = (sides, String::new());
+        (fault.sides, fault.components) = (sides, String::new());
     }
     fault
 }
--- a/crates/lab/src/fault_steps.rs
+++ b/crates/lab/src/fault_steps.rs
@@ -82,12 +82,12 @@
         let number = (first + number) as u32 * MAX_COMPONENTS_PER_FAULT;
         for round in 0..fault.times.max(1) {
             let begin = fault.at + fault.every.scaled(f64::from(round));
-            let parts = scenario.components(&fault.part);
+            let parts = scenario.components(&fault.components);
             // All network paths affected at the same time are one fault.
             let same_time =
                 fault.kind.component_kinds().contains('w') && parts.first().is_none_or(|(_, l, _)| *l == 'w');
             if same_time && fault.step == Micros::ZERO {
-                let say = (fault.text(&fault.part), fault.part.clone());
+                let say = (fault.text(&fault.components), fault.components.clone());
                 push_network_steps(
                     scenario,
                     fault,
@@ -108,7 +108,7 @@
                 };
                 let text = fault.text(&name);
                 if letter == 'w' {
-                    let fault = Fault { part: name.clone(), ..fault.clone() };
+                    let fault = Fault { components: name.clone(), ..fault.clone() };
                     push_network_steps(scenario, &fault, when, number, (text, name), &mut steps);
                     continue;
                 }
@@ -183,7 +183,7 @@
                 push(announce_at, set_health("Gone"));
             }
             if let Some(end) = end {
-                push(end, FaultStep::StartBackend { name, moved: fault.moves });
+                push(end, FaultStep::StartBackend { name, moved: fault.changes_address });
                 push(end + RESTART_NOTICE_DELAY, set_health("Ready"));
             }
         }
@@ -193,7 +193,7 @@
             // certainly over.
             let close_at = at + t.discovery_lag + t.drain_grace + Micros::from_millis(100);
             push(close_at, FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Drain)));
-            if !fault.stays {
+            if !fault.keeps_process {
                 push(
                     close_at,
                     FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Shutdown)),
@@ -202,7 +202,7 @@
             let back = end.map(|end| end.max(close_at + Micros::from_millis(300)));
             push(back.unwrap_or(close_at + Micros::from_millis(300)), set_health("Gone"));
             if let Some(back) = back {
-                push(back, FaultStep::StartBackend { name, moved: fault.moves });
+                push(back, FaultStep::StartBackend { name, moved: fault.changes_address });
                 push(back + RESTART_NOTICE_DELAY, set_health("Ready"));
             }
         }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -118,7 +118,7 @@
     /// only if a fault of the scenario needs a process to act on.
     pub fn has_processes(&self, tier: usize) -> bool {
         let needs_process = |fault: &Fault| {
-            let parts = self.components(&fault.part);
+            let parts = self.components(&fault.components);
             fault.kind.needs_process()
                 && parts.first().is_some_and(|(t, letter, _)| (*t, *letter) == (tier, 'p'))
         };
@@ -137,7 +137,7 @@
             if !grows && fault.kind != FaultKind::Shrink {
                 continue;
             }
-            let parts = self.components(&fault.part);
+            let parts = self.components(&fault.components);
             for (n, (_, _, proxy)) in
                 parts.iter().enumerate().filter(|(_, (t, letter, _))| (*t, *letter) == (tier, 'p'))
             {
@@ -174,7 +174,7 @@
             paths.extend((forth && from != to).then_some((from, to)));
             paths.extend((back && from != to).then_some((to, from)));
         };
-        let selectors = [!fault.sides.is_empty(), !fault.pairs.is_empty(), !fault.part.is_empty()];
+        let selectors = [!fault.sides.is_empty(), !fault.pairs.is_empty(), !fault.components.is_empty()];
         if selectors.iter().filter(|is_set| **is_set).count() != 1 {
             return Err("wanted one of sides, pairs and part".to_string());
         }
@@ -215,8 +215,8 @@
                 }
             }
         }
-        if !fault.part.is_empty() {
-            let (tier, found) = proxies(&fault.part, "part", "w")?;
+        if !fault.components.is_empty() {
+            let (tier, found) = proxies(&fault.components, "part", "w")?;
             tiers.insert(tier);
             let count = self.tiers[tier].proxies;
             found.iter().for_each(|from| (0..count).for_each(|to| add(*from, to)));
@@ -231,7 +231,7 @@
     pub fn check_fault(&self, fault: &Fault) -> Result<(), String> {
         let on_paths = !fault.sides.is_empty() || !fault.pairs.is_empty();
         let kind = || serde_json::to_string(&fault.kind).unwrap_or_default();
-        let found = self.components(&fault.part);
+        let found = self.components(&fault.components);
         if found.is_empty() && !on_paths {
             let parts = self.component_ranges().join(", ");
             return Err(format!("there is no such part; there are {parts}"));
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -161,7 +161,11 @@
         }
         for (n, fault) in scenario.faults.iter().enumerate() {
             let at = self.line_of("[[fault]]", n);
-            let named = if fault.part.is_empty() { format!("{:?}", fault.kind) } else { fault.part.clone() };
+            let named = if fault.components.is_empty() {
+                format!("{:?}", fault.kind)
+            } else {
+                fault.components.clone()
+            };
             scenario.check_fault(fault).map_err(|why| format!("{path}:{at}: fault {named:?}: {why}"))?;
         }
         let all_bounds = std::iter::once(&scenario.bounds);
