--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -88,9 +88,9 @@
             program: current_program()?,
             seed: self.seed,
             runs: self.runs,
-            lasts: self.duration,
+            duration: self.duration,
             jobs: self.jobs.unwrap_or(cores / 3).clamp(1, 25),
-            seconds: self.seconds,
+            time_limit_s: self.seconds,
             out: self.out.unwrap_or_else(|| search::default_folder(&self.file)),
             stop: install_stop_flag()?,
         };
@@ -107,9 +107,9 @@
         progress.finish_and_clear();
         let outcome = outcome.map_err(command_error)?;
         for found in &outcome.found {
-            let marks: Vec<&str> = found.marks.iter().map(String::as_str).collect();
+            let broken_checks: Vec<&str> = found.broken_checks.iter().map(String::as_str).collect();
             let (remaining, drawn, (broken, replays)) = (found.faults.len(), found.drawn, found.replayed);
-            println!("schedule {}: breaks {}: {}", found.number, marks.join(", "), found.text);
+            println!("schedule {}: breaks {}: {}", found.number, broken_checks.join(", "), found.text);
             match replays {
                 0 => println!("  {} ({drawn} faults, as drawn)", found.path.display()),
                 _ => println!(
@@ -126,7 +126,7 @@
         );
         let rule_names: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
         let breaks_rule =
-            |found: &Finding| found.marks.iter().any(|mark| rule_names.contains(&mark.as_str()));
+            |found: &Finding| found.broken_checks.iter().any(|check| rule_names.contains(&check.as_str()));
         match outcome.found.len() {
             0 => Ok(()),
             count if outcome.found.iter().any(breaks_rule) => Err(CommandError {
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -31,10 +31,11 @@
     pub program: PathBuf,
     pub seed: u64,
     pub runs: u64,
-    pub lasts: Option<Micros>,
+    /// The duration of each run, instead of the scenario's.
+    pub duration: Option<Micros>,
     pub jobs: usize,
     /// No run starts after this many seconds.
-    pub seconds: Option<f64>,
+    pub time_limit_s: Option<f64>,
     /// The folder for the scenarios found.
     pub out: PathBuf,
     pub stop: Arc<AtomicBool>,
@@ -44,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub number: u64,
-    pub marks: BrokenChecks,
+    pub broken_checks: BrokenChecks,
     pub faults: Vec<Fault>,
     /// Number of faults before the reduction.
     pub drawn: usize,
@@ -78,17 +79,18 @@
 
     fn is_over(&self, started_at: Instant) -> bool {
         self.stop.load(Ordering::Relaxed)
-            || self.seconds.is_some_and(|most| started_at.elapsed().as_secs_f64() >= most)
+            || self.time_limit_s.is_some_and(|most| started_at.elapsed().as_secs_f64() >= most)
     }
 
-    fn lasts(&self) -> Result<Micros, Failure> {
+    fn run_duration(&self) -> Result<Micros, Failure> {
         let scenario = self.source.scenario(None, false).map_err(Failure::InvalidInput)?;
-        Ok(self.lasts.unwrap_or(scenario.duration))
+        Ok(self.duration.unwrap_or(scenario.duration))
     }
 
     /// Runs a schedule once.
     fn play(&self, faults: &[Fault], seed: u64) -> Result<RunResult, Failure> {
-        let source = self.source.with_faults(faults, seed, self.lasts()?).map_err(Failure::InvalidInput)?;
+        let source =
+            self.source.with_faults(faults, seed, self.run_duration()?).map_err(Failure::InvalidInput)?;
         let scenario = source.scenario(None, false).map_err(Failure::InvalidInput)?;
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -105,18 +107,18 @@
         if verdict.void.is_some() {
             return Ok(RunResult::Inconclusive);
         }
-        let mut marks: BrokenChecks =
+        let mut broken_checks: BrokenChecks =
             verdict.breaches.iter().map(|breach| breach.rule.name().to_string()).collect();
-        if verdict.unsure() && marks.is_empty() && !run.missed.is_empty() {
+        if verdict.unsure() && broken_checks.is_empty() && !run.missed.is_empty() {
             return Ok(RunResult::Inconclusive);
         }
         if !verdict.unsure() {
             let name = |missed: &String| missed.split(' ').next().unwrap_or_default().to_string();
-            marks.extend(run.missed.iter().map(name));
+            broken_checks.extend(run.missed.iter().map(name));
         }
         let text = verdict.breaches.first().map(|breach| format!("{}: {}", breach.rule.name(), breach.text));
         let text = text.or_else(|| run.missed.first().cloned()).unwrap_or_default();
-        Ok(if marks.is_empty() { RunResult::Passed } else { RunResult::Failed(marks, text) })
+        Ok(if broken_checks.is_empty() { RunResult::Passed } else { RunResult::Failed(broken_checks, text) })
     }
 
     /// How many of the runs of a candidate break one of the given rules or bounds.
@@ -124,11 +126,11 @@
         &self,
         faults: &[Fault],
         seed: u64,
-        marks: &BrokenChecks,
+        checks: &BrokenChecks,
         times: usize,
     ) -> Result<usize, Failure> {
         let is_failure =
-            |result: &RunResult| matches!(result, RunResult::Failed(found, _) if !found.is_disjoint(marks));
+            |result: &RunResult| matches!(result, RunResult::Failed(found, _) if !found.is_disjoint(checks));
         let mut count = 0;
         for played in 0..times {
             count += usize::from(is_failure(&self.play(faults, seed)?));
@@ -145,12 +147,13 @@
         &self,
         candidates: &[Vec<Fault>],
         seed: u64,
-        marks: &BrokenChecks,
+        broken_checks: &BrokenChecks,
     ) -> Result<Option<usize>, Failure> {
         for (round, some) in candidates.chunks(self.jobs.max(1)).enumerate() {
             let results = std::thread::scope(|scope| {
-                let one =
-                    |faults: &'_ Vec<Fault>| self.count_failures(faults, seed, marks, CONFIRMATION_RUNS);
+                let one = |faults: &'_ Vec<Fault>| {
+                    self.count_failures(faults, seed, broken_checks, CONFIRMATION_RUNS)
+                };
                 let threads: Vec<_> = some.iter().map(|faults| scope.spawn(move || one(faults))).collect();
                 threads.into_iter().map(|thread| thread.join()).collect::<Vec<_>>()
             });
@@ -169,7 +172,7 @@
         &self,
         mut faults: Vec<Fault>,
         seed: u64,
-        marks: &BrokenChecks,
+        broken_checks: &BrokenChecks,
         started_at: Instant,
     ) -> Result<Vec<Fault>, Failure> {
         while faults.len() > 1 && !self.is_over(started_at) {
@@ -179,22 +182,22 @@
                 rest
             };
             let candidates: Vec<Vec<Fault>> = (0..faults.len()).map(without).collect();
-            match self.first_confirmed(&candidates, seed, marks)? {
+            match self.first_confirmed(&candidates, seed, broken_checks)? {
                 Some(n) => faults = candidates[n].clone(),
                 None => break,
             }
         }
         for n in 0..faults.len() {
-            while let Some(lasts) =
-                faults[n].duration.filter(|lasts| *lasts >= MIN_FAULT_DURATION.scaled(2.0))
+            while let Some(duration) =
+                faults[n].duration.filter(|duration| *duration >= MIN_FAULT_DURATION.scaled(2.0))
             {
                 if self.is_over(started_at) {
                     break;
                 }
                 let mut shorter = faults.clone();
-                shorter[n].duration = Some(Micros((lasts.0 / 2_000).max(1) * 1000));
+                shorter[n].duration = Some(Micros((duration.0 / 2_000).max(1) * 1000));
                 let candidates = [shorter];
-                if self.first_confirmed(&candidates, seed, marks)?.is_none() {
+                if self.first_confirmed(&candidates, seed, broken_checks)?.is_none() {
                     break;
                 }
                 [faults] = candidates;
@@ -204,13 +207,15 @@
     }
 
     fn write(&self, found: &Finding, seed: u64) -> Result<(), Failure> {
-        let source =
-            self.source.with_faults(&found.faults, seed, self.lasts()?).map_err(Failure::InvalidInput)?;
-        let marks: Vec<&str> = found.marks.iter().map(String::as_str).collect();
-        let (file, marks) = (self.source.path.display(), marks.join(", "));
+        let source = self
+            .source
+            .with_faults(&found.faults, seed, self.run_duration()?)
+            .map_err(Failure::InvalidInput)?;
+        let broken_checks: Vec<&str> = found.broken_checks.iter().map(String::as_str).collect();
+        let (file, broken_checks) = (self.source.path.display(), broken_checks.join(", "));
         let (played, of) = found.replayed;
         let head = format!(
-            "# Found by `sparlug lab hunt {file} --seed {}`, schedule {}: breaks {marks}.\n# {}\n# {} of {} faults are left; \
+            "# Found by `sparlug lab hunt {file} --seed {}`, schedule {}: breaks {broken_checks}.\n# {}\n# {} of {} faults are left; \
              played again it broke {played} times of {of}.\n",
             self.seed,
             found.number,
@@ -230,7 +235,7 @@
         let write_error = |e| Failure::Environment(format!("cannot write to {}: {e}", self.out.display()));
         std::fs::create_dir_all(&self.out).map_err(write_error)?;
         let mut draw_scenario = scenario.clone();
-        draw_scenario.duration = self.lasts.unwrap_or(scenario.duration);
+        draw_scenario.duration = self.duration.unwrap_or(scenario.duration);
         let started_at = Instant::now();
         let (next, search_result) = (AtomicU64::new(0), Mutex::new(SearchResult::default()));
         let failed: Mutex<Option<Failure>> = Mutex::new(None);
@@ -251,10 +256,11 @@
                     match result {
                         Ok(RunResult::Passed) => {}
                         Ok(RunResult::Inconclusive) => search_result.void += 1,
-                        Ok(RunResult::Failed(marks, text)) => {
+                        Ok(RunResult::Failed(broken_checks, text)) => {
                             let path = self.file(number);
                             let (drawn, replayed) = (faults.len(), (0, 0));
-                            let found = Finding { number, marks, faults, drawn, path, replayed, text };
+                            let found =
+                                Finding { number, broken_checks, faults, drawn, path, replayed, text };
                             if let Err(e) = self.write(&found, seed) {
                                 keep_first_error(&failed, e);
                             }
@@ -279,7 +285,7 @@
         let mut first = BTreeSet::new();
         for n in 0..search_result.found.len() {
             // One finding of each kind is reduced; the others stay as drawn.
-            if self.is_over(started_at) || !first.insert(search_result.found[n].marks.clone()) {
+            if self.is_over(started_at) || !first.insert(search_result.found[n].broken_checks.clone()) {
                 continue;
             }
             on_progress(
@@ -298,9 +304,9 @@
 
     fn finish(&self, found: &Finding, started_at: Instant) -> Result<Finding, Failure> {
         let seed = self.seed_of(found.number);
-        let faults = self.reduce(found.faults.clone(), seed, &found.marks, started_at)?;
+        let faults = self.reduce(found.faults.clone(), seed, &found.broken_checks, started_at)?;
         let mut cut = Finding { faults, ..found.clone() };
-        cut.replayed = (self.count_failures(&cut.faults, seed, &found.marks, REPLAYS)?, REPLAYS);
+        cut.replayed = (self.count_failures(&cut.faults, seed, &found.broken_checks, REPLAYS)?, REPLAYS);
         self.write(&cut, seed)?;
         Ok(cut)
     }
