--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -294,8 +294,8 @@
         let runs = runs.map_err(command_error)?;
         let results = experiment::results(&runs);
         for run in &runs {
-            let suffix = if run.lawless { " (a baseline, not judged)" } else { "" };
-            if !run.timelines.is_empty() && !run.lawless {
+            let suffix = if run.skip_rules { " (a baseline, not judged)" } else { "" };
+            if !run.timelines.is_empty() && !run.skip_rules {
                 println!("{} {}{suffix}:", run.variant, run.seed);
                 run.timelines.iter().for_each(|line| println!("  {line}"));
             }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -32,7 +32,8 @@
 pub struct RunOutcome {
     pub variant: String,
     pub seed: u64,
-    pub lawless: bool,
+    /// Whether the rules are not judged, as for a baseline.
+    pub skip_rules: bool,
     pub plan: String,
     pub scenario: Scenario,
     pub ran: CompletedRun,
@@ -61,7 +62,8 @@
 pub struct RunResult {
     pub variant: String,
     pub seed: u64,
-    pub lawless: bool,
+    #[serde(rename = "lawless")]
+    pub skip_rules: bool,
     /// A hash of all planned arrivals and faults.
     pub plan: String,
     pub rules_broken: usize,
@@ -217,7 +219,7 @@
                 );
             }
         }
-        let (variant, lawless) = (variant.name.clone(), variant.skip_rules);
+        let (variant, skip_rules) = (variant.name.clone(), variant.skip_rules);
         let faults = records.iter().filter_map(|record| match &record.kind {
             record::RecordKind::Fault { text, on, .. } => Some(format!("{text} {on}")),
             _ => None,
@@ -235,7 +237,7 @@
         Ok(RunOutcome {
             variant,
             seed,
-            lawless,
+            skip_rules,
             plan,
             scenario,
             ran,
@@ -252,7 +254,7 @@
         RunResult {
             variant: self.variant.clone(),
             seed: self.seed,
-            lawless: self.lawless,
+            skip_rules: self.skip_rules,
             plan: self.plan.clone(),
             rules_broken: v.breaches.len(),
             breaches: v.breaches.iter().take(50).map(|b| format!("{}: {}", b.rule.name(), b.text)).collect(),
@@ -312,7 +314,7 @@
             missed,
         });
     }
-    let judged = runs.iter().filter(|run| !run.lawless);
+    let judged = runs.iter().filter(|run| !run.skip_rules);
     Results {
         schema: SCHEMA,
         scenario: scenario.map(|scenario| scenario.name.clone()).unwrap_or_default(),
@@ -406,7 +408,7 @@
         let f = &run.figures;
         let rules = match run.rules_broken {
             0 => "kept".to_string(),
-            n if run.lawless => format!("({n})"),
+            n if run.skip_rules => format!("({n})"),
             n => n.to_string(),
         };
         out += &format!(
