--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Args;
-use sparlug_lab::clock::{At, Micros};
+use sparlug_lab::clock::{Micros, Timestamp};
 use sparlug_lab::record::{Record, RecordKind};
 use sparlug_lab::run::{self, Options};
 use sparlug_lab::run_figures;
@@ -251,7 +251,7 @@
         let mut progress = |_: f64| {
             tail.read(&records_path, &mut stats);
             if started_at.is_none() {
-                started_at = Some(At::now());
+                started_at = Some(Timestamp::now());
                 last_shown = Instant::now();
                 println!("A proxy in front of four backends listens on {}. Send it requests:\n", self.listen);
                 println!("  curl -H \"Request-Id: $RANDOM$RANDOM\" http://{}/check-free", self.listen);
@@ -263,7 +263,7 @@
                     println!("Keys, with Enter: c crash a backend, s stall one, d drain one, k kill the proxy, q quit\n");
                 }
             }
-            let elapsed = started_at.map_or(Micros::ZERO, |started_at| At::now().since(started_at));
+            let elapsed = started_at.map_or(Micros::ZERO, |started_at| Timestamp::now().since(started_at));
             if elapsed > Micros::from_millis(3000) {
                 if let Some(fault) = pending_fault.take() {
                     let _ = fault_sender.send(fault);
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use sparlug_lab::clock::{At, Micros};
+use sparlug_lab::clock::{Micros, Timestamp};
 use sparlug_lab::record::{self, Record, RecordKind};
 use sparlug_lab::rules::{judge, Rule};
 use sparlug_lab::run::{self, Options};
@@ -44,7 +44,7 @@
 
 /// Runs the scenario with these faults, checks that no rule is broken, and returns the records and the time
 /// of the start.
-fn run_scenario(name: &str, faults: &str) -> (Vec<Record>, At) {
+fn run_scenario(name: &str, faults: &str) -> (Vec<Record>, Timestamp) {
     let source = ScenarioFile::of(Path::new("few.toml"), SCENARIO.to_string() + faults).unwrap();
     let scenario: Scenario = source.scenario(None, false).unwrap();
     let dir = scratch_dir(name);
@@ -60,7 +60,7 @@
 }
 
 /// When a proxy stopped or started, and how.
-fn state_changes(records: &[Record], name: &str) -> Vec<(At, String)> {
+fn state_changes(records: &[Record], name: &str) -> Vec<(Timestamp, String)> {
     let found = records.iter().filter_map(|record| match &record.kind {
         RecordKind::ProxyDown { proxy, how } if proxy == name => Some((record.t, how.clone())),
         RecordKind::ProxyUp { proxy } if proxy == name => Some((record.t, "up".to_string())),
@@ -75,7 +75,7 @@
 }
 
 /// When the agent first reported to a proxy that a backend is not `Ready` any more, because it drains.
-fn drain_notice_time(records: &[Record], name: &str) -> At {
+fn drain_notice_time(records: &[Record], name: &str) -> Timestamp {
     let found = records.iter().find(|record| {
         matches!(&record.kind, RecordKind::HealthReported { proxy, health, .. } if proxy == name && health != "Ready")
     });
@@ -93,7 +93,7 @@
         assert_eq!(states(&records, proxy), ["up", "shrink"]);
         let (started_at, stopped_at) =
             (state_changes(&records, proxy)[0].0, state_changes(&records, proxy)[1].0);
-        let sent: Vec<At> = records
+        let sent: Vec<Timestamp> = records
             .iter()
             .filter_map(|record| match &record.kind {
                 RecordKind::Sent { to, .. } if to == proxy => Some(record.t),
@@ -123,7 +123,7 @@
          [[fault]]\nat = \"1s\"\nfor = \"3s\"\npart = \"front/p-1\"\nkind = \"slow\"\namount = 0.1\n",
     );
     let mut proxy_of_request = std::collections::BTreeMap::new();
-    let mut answered: Vec<(&str, At)> = Vec::new();
+    let mut answered: Vec<(&str, Timestamp)> = Vec::new();
     for record in &records {
         match &record.kind {
             RecordKind::Sent { id, to: proxy, .. } => {
@@ -137,7 +137,7 @@
     }
     let frozen_changes = state_changes(&records, "front/p-0");
     assert_eq!(states(&records, "front/p-0"), ["up", "freeze", "up"]);
-    let responses_within = |proxy: &str, from: At, to: At| {
+    let responses_within = |proxy: &str, from: Timestamp, to: Timestamp| {
         answered
             .iter()
             .filter(|(answering_proxy, at)| *answering_proxy == proxy && *at > from && *at < to)
--- a/crates/lab/src/agent.rs
+++ b/crates/lab/src/agent.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
 use crate::record::RecordKind;
@@ -108,7 +108,7 @@
 
 /// The list as it was from `since` on.
 struct ListVersion {
-    since: At,
+    since: Timestamp,
     version: u64,
     entries: Vec<BackendEntry>,
 }
@@ -145,18 +145,18 @@
             connections,
             watch_count: 0,
         };
-        agent.record_version(At::default());
+        agent.record_version(Timestamp::default());
         agent
     }
 
     /// Adds the current list to the history.
-    fn record_version(&mut self, since: At) {
+    fn record_version(&mut self, since: Timestamp) {
         let entries = self.entries.values().cloned().collect();
         self.history.push(ListVersion { since, version: self.version, entries });
     }
 
     /// The version and the list that this proxy gets now.
-    fn list_for(&self, view: usize, now: At) -> (u64, Vec<BackendEntry>) {
+    fn list_for(&self, view: usize, now: Timestamp) -> (u64, Vec<BackendEntry>) {
         let view = &self.views[view];
         if let Some(frozen_list) = &view.frozen_list {
             return frozen_list.clone();
@@ -443,7 +443,7 @@
 }
 
 /// Converts a time on the lab's clock to Unix time in milliseconds.
-pub fn unix_ms(at: At) -> f64 {
+pub fn unix_ms(at: Timestamp) -> f64 {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    unix.as_secs_f64() * 1000.0 - (At::now().0 - at.0) as f64 / 1000.0
+    unix.as_secs_f64() * 1000.0 - (Timestamp::now().0 - at.0) as f64 / 1000.0
 }
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::arrivals;
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message::{self, Message};
 use crate::record::RecordKind;
@@ -70,14 +70,14 @@
     /// A delayed response.
     SendResponse(ConnId, Vec<u8>),
     /// Closes a connection that was last used at this time.
-    Idle(ConnId, At),
+    Idle(ConnId, Timestamp),
 }
 
 struct ClientConnection {
     /// When the first byte of the incoming request arrived.
-    first_byte_at: Option<At>,
+    first_byte_at: Option<Timestamp>,
     job: Option<u64>,
-    last_used: At,
+    last_used: Timestamp,
 }
 
 /// A request that is pending.
@@ -85,13 +85,13 @@
     conn: ConnId,
     id: String,
     class: String,
-    deadline: At,
+    deadline: Timestamp,
     started: bool,
     /// Calls to the next tier: in all, made so far, and the connection of the open one.
     calls: u32,
     calls_made: u32,
     open_call: Option<ConnId>,
-    finish_at: At,
+    finish_at: Timestamp,
     body_bytes: usize,
 }
 
@@ -101,7 +101,7 @@
     listener: Option<ListenerId>,
     generation: u32,
     /// When its process started, if it started cold.
-    cold_since: Option<At>,
+    cold_since: Option<Timestamp>,
     draining: bool,
     shutting_down: bool,
     clients: BTreeMap<ConnId, ClientConnection>,
@@ -114,8 +114,8 @@
     job_count: u64,
     request_count: u64,
     faults: BTreeMap<u32, ActiveFault>,
-    stalled_since: Option<At>,
-    arrivals: VecDeque<At>,
+    stalled_since: Option<Timestamp>,
+    arrivals: VecDeque<Timestamp>,
 }
 
 type Loop = EventLoop<TimerEvent>;
@@ -157,7 +157,7 @@
             |e| io::Error::other(format!("{} cannot listen on {}: {e}", self.spec.name, self.spec.address));
         self.listener = Some(listener.map_err(failed)?);
         self.generation += 1;
-        self.cold_since = (!warm).then(At::now);
+        self.cold_since = (!warm).then(Timestamp::now);
         (self.draining, self.shutting_down) = (false, false);
         self.arrivals.clear();
         event_loop.record(RecordKind::Started { warm, generation: self.generation });
@@ -181,7 +181,7 @@
     }
 
     /// The share of its full capacity that it has now.
-    fn capacity_ratio(&self, now: At) -> f64 {
+    fn capacity_ratio(&self, now: Timestamp) -> f64 {
         let tier = &self.spec.tier;
         let Some(since) = self.cold_since else { return 1.0 };
         let age = now.since(since).secs() / tier.cold_ramp.secs().max(1e-6);
@@ -259,7 +259,13 @@
         }
     }
 
-    fn handle_request(&mut self, event_loop: &mut Loop, conn: ConnId, first_byte_at: At, request: Message) {
+    fn handle_request(
+        &mut self,
+        event_loop: &mut Loop,
+        conn: ConnId,
+        first_byte_at: Timestamp,
+        request: Message,
+    ) {
         if request.path == "/health" {
             return self.send_response(event_loop, conn, if self.draining { 503 } else { 200 }, false, b"");
         }
--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::agent::BackendEntry;
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
 use crate::record::RecordKind;
@@ -62,7 +62,7 @@
     client: ConnId,
     class: Class,
     /// When the request was received, from which the client may count its deadline.
-    received_at: At,
+    received_at: Timestamp,
     bytes: Vec<u8>,
     attempt: Option<(ConnId, String)>,
     attempts_made: u16,
@@ -81,7 +81,7 @@
     /// The backend that started last, which some seeded defects overload.
     newest: Option<String>,
     /// When recent requests were sent to it.
-    sent_to_newest: VecDeque<At>,
+    sent_to_newest: VecDeque<Timestamp>,
     listener: Option<ListenerId>,
     draining: bool,
     round_robin_index: usize,
@@ -116,7 +116,7 @@
         }
     }
 
-    fn choose_backend(&mut self, now: At) -> Option<BackendEntry> {
+    fn choose_backend(&mut self, now: Timestamp) -> Option<BackendEntry> {
         let uses_draining = self.spec.seeded_defect == Some(SeededDefect::UseDrained);
         let usable: Vec<&BackendEntry> =
             self.entries.values().filter(|entry| entry.health == "Ready" || uses_draining).collect();
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::arrivals::Intent;
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId};
 use crate::http_message;
 use crate::record::RecordKind;
@@ -44,7 +44,7 @@
     /// Names of targets that do not exist yet.
     #[serde(rename = "absent")]
     pub absent_targets: Vec<String>,
-    pub start: At,
+    pub start: Timestamp,
     #[serde(rename = "lasts")]
     pub duration: Micros,
     pub seed: u64,
@@ -80,7 +80,7 @@
     name: String,
     address: SocketAddr,
     up: bool,
-    down_until: At,
+    down_until: Timestamp,
     pool: Vec<ConnId>,
 }
 
@@ -93,8 +93,8 @@
     target: usize,
     reused: bool,
     connected: bool,
-    sent: Option<At>,
-    deadline: At,
+    sent: Option<Timestamp>,
+    deadline: Timestamp,
     /// Sent again on a new connection because a reused one was closed before any response, as HTTP/1.1
     /// allows.
     resent: bool,
@@ -115,7 +115,7 @@
     next_intent: usize,
     open_intents: usize,
     attempt_count: u64,
-    first_due: BTreeMap<usize, At>,
+    first_due: BTreeMap<usize, Timestamp>,
     rng: ChaCha8Rng,
     run_ended: bool,
 }
@@ -128,7 +128,7 @@
             name: name.clone(),
             address: *address,
             up: !spec.absent_targets.contains(name),
-            down_until: At::default(),
+            down_until: Timestamp::default(),
             pool: Vec::new(),
         };
         let targets = spec.targets.iter().map(target).collect();
@@ -156,7 +156,7 @@
         &self.spec.classes[self.spec.intents[intent].class]
     }
 
-    fn choose_target(&mut self, intent: usize, now: At) -> Option<usize> {
+    fn choose_target(&mut self, intent: usize, now: Timestamp) -> Option<usize> {
         let is_usable = |target: &Target| target.up && target.down_until <= now;
         let usable: Vec<usize> = (0..self.targets.len()).filter(|n| is_usable(&self.targets[*n])).collect();
         if usable.is_empty() {
@@ -172,7 +172,7 @@
         Some(if usable.contains(&own) { own } else { usable[client % usable.len()] })
     }
 
-    fn start_intent(&mut self, event_loop: &mut Loop, intent: usize, due: At) {
+    fn start_intent(&mut self, event_loop: &mut Loop, intent: usize, due: Timestamp) {
         self.first_due.insert(intent, due);
         self.open_intents += 1;
         if self.spec.intents[intent].malformed {
@@ -276,7 +276,7 @@
         let Some(attempt) = self.attempts.get(&conn).filter(|attempt| attempt.sent.is_none()) else { return };
         let (intent, serial) = (attempt.intent, attempt.serial);
         let class = self.class(intent).clone();
-        let (now, plan) = (At::now(), &self.spec.intents[intent]);
+        let (now, plan) = (Timestamp::now(), &self.spec.intents[intent]);
         let (impatient, slow_read) = (plan.impatient, plan.slow_read);
         let due = self.first_due.get(&intent).copied().unwrap_or(now);
         let Some(attempt) = self.attempts.get_mut(&conn) else { return };
--- a/crates/lab/src/clock.rs
+++ b/crates/lab/src/clock.rs
@@ -7,21 +7,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point on the monotonic clock, in microseconds.
+/// A point in time on the monotonic clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct At(pub i64);
+pub struct Timestamp(pub i64);
 
-/// A span between two points, in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Micros(pub i64);
 
-impl At {
-    pub fn now() -> At {
+impl Timestamp {
+    pub fn now() -> Timestamp {
         let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
-        At(now.tv_sec * 1_000_000 + now.tv_nsec / 1000)
+        Timestamp(now.tv_sec * 1_000_000 + now.tv_nsec / 1000)
     }
 
-    pub fn since(self, earlier: At) -> Micros {
+    pub fn since(self, earlier: Timestamp) -> Micros {
         Micros((self.0 - earlier.0).max(0))
     }
 }
@@ -58,17 +58,17 @@
     }
 }
 
-impl Add<Micros> for At {
-    type Output = At;
-    fn add(self, span: Micros) -> At {
-        At(self.0.saturating_add(span.0))
+impl Add<Micros> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, span: Micros) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Micros> for At {
-    type Output = At;
-    fn sub(self, span: Micros) -> At {
-        At(self.0.saturating_sub(span.0))
+impl Sub<Micros> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, span: Micros) -> Timestamp {
+        Timestamp(self.0.saturating_sub(span.0))
     }
 }
 
--- a/crates/lab/src/duty_figures.rs
+++ b/crates/lab/src/duty_figures.rs
@@ -3,15 +3,15 @@
 
 use std::collections::BTreeMap;
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::figures::FleetFigures;
 use crate::record::{Record, RecordKind};
 
 /// A proxy's report that it holds a duty. The proxy read its clock after the request was sent and before the
 /// response arrived.
 struct HolderReport<'a> {
-    requested_at: At,
-    answered_at: At,
+    requested_at: Timestamp,
+    answered_at: Timestamp,
     proxy: &'a str,
     term: u64,
 }
@@ -38,9 +38,9 @@
     twice
 }
 
-pub fn fill(records: &[Record], end: At, figures: &mut FleetFigures) {
+pub fn fill(records: &[Record], end: Timestamp, figures: &mut FleetFigures) {
     let mut duties: BTreeMap<&str, Vec<HolderReport>> = BTreeMap::new();
-    let mut ends: Vec<(At, &str, bool)> = Vec::new();
+    let mut ends: Vec<(Timestamp, &str, bool)> = Vec::new();
     for record in records {
         match &record.kind {
             RecordKind::DutyHeld { proxy, duty, term, took } => {
@@ -85,8 +85,8 @@
     #[test]
     fn simultaneous_holders_are_counted_but_a_change_of_holder_is_not() {
         let reports = |requested_at, answered_at, proxy, term| HolderReport {
-            requested_at: At(requested_at),
-            answered_at: At(answered_at),
+            requested_at: Timestamp(requested_at),
+            answered_at: Timestamp(answered_at),
             proxy,
             term,
         };
--- a/crates/lab/src/event_loop.rs
+++ b/crates/lab/src/event_loop.rs
@@ -14,7 +14,7 @@
 use slab::Slab;
 use socket2::{Domain, Socket, Type};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::record::{RecordKind, Recorder};
 
 const WAKER: Token = Token(0);
@@ -99,9 +99,9 @@
     connections: Slab<Conn>,
     listeners: Slab<(TcpListener, bool)>,
     sockets: Slab<UdpSocket>,
-    timers: BTreeMap<(At, u64), D>,
+    timers: BTreeMap<(Timestamp, u64), D>,
     last_id: u64,
-    pub now: At,
+    pub now: Timestamp,
     lateness: Histogram<u64>,
     deferred_reads: Vec<ConnId>,
     /// Listeners that accept again: connections already in the backlog raise no new event.
@@ -121,7 +121,7 @@
             sockets: Slab::new(),
             timers: BTreeMap::new(),
             last_id: 0,
-            now: At::now(),
+            now: Timestamp::now(),
             lateness,
             deferred_reads: Vec::new(),
             deferred_accepts: Vec::new(),
@@ -136,7 +136,7 @@
     }
 
     pub fn record(&self, what: RecordKind) {
-        self.recorder.write(At::now(), what);
+        self.recorder.write(Timestamp::now(), what);
     }
 
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<ListenerId> {
@@ -313,7 +313,7 @@
             .collect()
     }
 
-    pub fn schedule_at(&mut self, when: At, event: D) {
+    pub fn schedule_at(&mut self, when: Timestamp, event: D) {
         self.last_id += 1;
         self.timers.insert((when, self.last_id), event);
     }
@@ -372,14 +372,14 @@
     while !event_loop.stop_requested {
         let timeout = match event_loop.timers.first_key_value() {
             _ if event_loop.has_deferred_events() => Some(Duration::ZERO),
-            Some(((at, _), _)) => Some(at.since(At::now()).duration()),
+            Some(((at, _), _)) => Some(at.since(Timestamp::now()).duration()),
             None => None,
         };
         match event_loop.poll.poll(&mut events, timeout) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
-        event_loop.now = At::now();
+        event_loop.now = Timestamp::now();
         for event in events.iter() {
             match event.token().0 {
                 0 => {}
@@ -411,7 +411,7 @@
                 }
             }
         }
-        event_loop.now = At::now();
+        event_loop.now = Timestamp::now();
         // Runs only timers set before this point: a timer that sets itself again with no delay would
         // otherwise keep the loop here forever.
         let last_id_before = event_loop.last_id;
@@ -425,7 +425,7 @@
             component.on_timer(event_loop, event);
         }
     }
-    event_loop.now = At::now();
+    event_loop.now = Timestamp::now();
     component.stop(event_loop);
     let (Micros(p99_us), Micros(max_us)) = event_loop.timer_lateness();
     event_loop.record(RecordKind::TimerLateness { p99_us, max_us });
--- a/crates/lab/src/fleet_figures.rs
+++ b/crates/lab/src/fleet_figures.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::figures::FleetFigures;
 use crate::record::{Record, RecordKind};
 use crate::scenario::{Scenario, Tier};
@@ -22,10 +22,10 @@
 const MIN_REQUESTS_FOR_SPREAD: u64 = 100; // requests at all backends, to compute their spread
 
 /// By component, the time spans in which a condition held, up to the end of the run.
-type Spans = BTreeMap<String, Vec<(At, At)>>;
+type Spans = BTreeMap<String, Vec<(Timestamp, Timestamp)>>;
 
 /// The time spans in which backends gave no responses because of a fault.
-pub fn dead(records: &[Record], end: At) -> Spans {
+pub fn dead(records: &[Record], end: Timestamp) -> Spans {
     let mut spans = Spans::new();
     for record in records {
         let RecordKind::Fault { on, fault: Some(fault), affected, .. } = &record.kind else { continue };
@@ -57,11 +57,16 @@
 /// first time at which the load overloaded it, with the number of requests and the capacity.
 pub struct PeakColdLoad {
     pub most: f64,
-    pub over: Option<(At, usize, f64)>,
+    pub over: Option<(Timestamp, usize, f64)>,
 }
 
 /// `offered` is sorted by time; `from` is the backend's start, `until` its end or the end of its slow start.
-pub fn peak_cold_load(offered: &[At], (from, until): (At, At), tier: &Tier, cores: usize) -> PeakColdLoad {
+pub fn peak_cold_load(
+    offered: &[Timestamp],
+    (from, until): (Timestamp, Timestamp),
+    tier: &Tier,
+    cores: usize,
+) -> PeakColdLoad {
     let window = tier.fall_window;
     let mut found = PeakColdLoad { most: 0.0, over: None };
     for (n, at) in offered.iter().enumerate().filter(|(_, at)| **at > from + window && **at <= until) {
@@ -87,22 +92,22 @@
 
 struct RunEvents<'a> {
     scenario: &'a Scenario,
-    start: At,
-    end: At,
+    start: Timestamp,
+    end: Timestamp,
     /// Attempts that arrived at backends: time, proxy, backend.
-    attempts: Vec<(At, &'a str, &'a str)>,
+    attempts: Vec<(Timestamp, &'a str, &'a str)>,
     /// Components affected by a fault or a restart, which the spreads exclude.
     affected: BTreeSet<&'a str>,
     /// Membership changes: time and component.
-    membership_changes: Vec<(At, &'a str)>,
+    membership_changes: Vec<(Timestamp, &'a str)>,
     /// Intents by planned time, and whether they were served.
-    intents: Vec<(At, bool)>,
+    intents: Vec<(Timestamp, bool)>,
     /// Times at which a fault ended.
-    fault_ends: Vec<At>,
-    first_fault: Option<At>,
+    fault_ends: Vec<Timestamp>,
+    first_fault: Option<Timestamp>,
 }
 
-fn collect_events<'a>(records: &'a [Record], scenario: &'a Scenario, start: At) -> RunEvents<'a> {
+fn collect_events<'a>(records: &'a [Record], scenario: &'a Scenario, start: Timestamp) -> RunEvents<'a> {
     let end = start + scenario.duration;
     let mut proxy_of_request: BTreeMap<&str, &str> = BTreeMap::new();
     for record in records {
@@ -170,14 +175,19 @@
 }
 
 impl RunEvents<'_> {
-    fn between(&self, from: At, to: At) -> &[(At, &str, &str)] {
-        let index_at = |at: At| self.attempts.partition_point(|(t, _, _)| *t < at);
+    fn between(&self, from: Timestamp, to: Timestamp) -> &[(Timestamp, &str, &str)] {
+        let index_at = |at: Timestamp| self.attempts.partition_point(|(t, _, _)| *t < at);
         &self.attempts[index_at(from)..index_at(to).max(index_at(from))]
     }
 
     /// The share of the proxies' requests in the second window that goes to backends they didn't use in the
     /// first.
-    fn new_target_share(&self, first: (At, At), second: (At, At), excluded: &str) -> Option<f64> {
+    fn new_target_share(
+        &self,
+        first: (Timestamp, Timestamp),
+        second: (Timestamp, Timestamp),
+        excluded: &str,
+    ) -> Option<f64> {
         let mut used: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
         let mut count: BTreeMap<&str, usize> = BTreeMap::new();
         for (_, proxy, host) in self.between(first.0, first.1) {
@@ -210,8 +220,8 @@
         (mean(moved), mean(calm))
     }
 
-    fn served_share(&self, from: At, to: At) -> Option<f64> {
-        let index_at = |at: At| self.intents.partition_point(|(due, _)| *due < at);
+    fn served_share(&self, from: Timestamp, to: Timestamp) -> Option<f64> {
+        let index_at = |at: Timestamp| self.intents.partition_point(|(due, _)| *due < at);
         let own = &self.intents[index_at(from)..index_at(to).max(index_at(from))];
         (own.len() >= 5).then(|| own.iter().filter(|(_, served)| *served).count() as f64 / own.len() as f64)
     }
@@ -219,7 +229,7 @@
     fn recovery_s(&self) -> f64 {
         let Some(first) = self.first_fault else { return 0.0 };
         let wanted = self.served_share(self.start, first).unwrap_or(1.0) * RECOVERED_RATIO;
-        let recovery_from = |from: &At| {
+        let recovery_from = |from: &Timestamp| {
             let mut at = *from;
             while at + RECOVERY_WINDOW <= self.end {
                 if self.served_share(at, at + RECOVERY_WINDOW).is_none_or(|share| share >= wanted) {
@@ -264,13 +274,13 @@
 }
 
 /// All fleet figures of a run that began at `start`.
-pub fn compute(records: &[Record], scenario: &Scenario, start: At) -> FleetFigures {
+pub fn compute(records: &[Record], scenario: &Scenario, start: Timestamp) -> FleetFigures {
     let end = start + scenario.duration;
     let mut figures = FleetFigures::default();
     let dead = dead(records, end);
-    let mut offered: BTreeMap<&str, Vec<At>> = BTreeMap::new();
+    let mut offered: BTreeMap<&str, Vec<Timestamp>> = BTreeMap::new();
     let (mut starts, mut stops) = (Vec::new(), Vec::new());
-    let mut requests_at_dead: BTreeMap<String, Vec<At>> = BTreeMap::new();
+    let mut requests_at_dead: BTreeMap<String, Vec<Timestamp>> = BTreeMap::new();
     let mut talk: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let (half, mut late_talk) = (start + scenario.duration.scaled(0.5), BTreeMap::<&str, u64>::new());
     let (mut cost, mut proxies, mut cpu_ms, mut wakeups_per_s) = ((0.0, 0.0), 0u64, 0.0, 0.0);
@@ -304,7 +314,8 @@
         for (from, to) in spans {
             let own = requests_at_dead.get(host).map_or(&[][..], |all| all.as_slice());
             let settled = (*from + DEATH_DETECTION_TIME).min(*to);
-            let within = |a: At, b: At| own.iter().filter(|at| **at >= a && **at < b).count() as u64;
+            let within =
+                |a: Timestamp, b: Timestamp| own.iter().filter(|at| **at >= a && **at < b).count() as u64;
             figures.dead_first = figures.dead_first.max(within(*from, settled));
             let left = to.since(settled);
             if left >= Micros::from_millis(1000) {
--- a/crates/lab/src/fleet_poller.rs
+++ b/crates/lab/src/fleet_poller.rs
@@ -9,7 +9,7 @@
 
 use serde_json::Value;
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::record::{RecordKind, Recorder};
 
 const VIEW_TIMEOUT: Duration = Duration::from_millis(100); // a paused proxy does not respond
@@ -28,9 +28,9 @@
             while !stop_requested.load(Ordering::Relaxed) {
                 let round_start = Instant::now();
                 for (proxy, address) in &proxies {
-                    let requested_at = At::now();
+                    let requested_at = Timestamp::now();
                     for what in fetch_view(proxy, *address, requested_at).into_iter().flatten() {
-                        recorder.write(At::now(), what);
+                        recorder.write(Timestamp::now(), what);
                     }
                 }
                 while round_start.elapsed() < interval.duration() && !stop_requested.load(Ordering::Relaxed) {
@@ -51,7 +51,7 @@
     }
 }
 
-fn fetch_view(proxy: &str, address: SocketAddr, requested_at: At) -> Option<Vec<RecordKind>> {
+fn fetch_view(proxy: &str, address: SocketAddr, requested_at: Timestamp) -> Option<Vec<RecordKind>> {
     let mut stream = TcpStream::connect_timeout(&address, VIEW_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(VIEW_TIMEOUT)).ok()?;
     stream.write_all(b"GET /fleet HTTP/1.1\r\nHost: lab\r\n\r\n").ok()?;
@@ -65,7 +65,7 @@
         found.filter_map(|member| Some(member["name"].as_str()?.to_string())).collect()
     };
     let (present, dead) = (names_in_state(&["alive", "suspect"]), names_in_state(&["dead"]));
-    let took = At::now().since(requested_at).0;
+    let took = Timestamp::now().since(requested_at).0;
     let duties = json["duties"].as_array().into_iter().flatten();
     let held = duties.filter(|duty| duty["held_here"] == true).filter_map(|duty| {
         let (duty, term) = (duty["name"].as_str()?.to_string(), duty["term"].as_u64()?);
--- a/crates/lab/src/membership_figures.rs
+++ b/crates/lab/src/membership_figures.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::figures::FleetFigures;
 use crate::record::{Record, RecordKind};
 use crate::scenario::FaultKind;
@@ -17,17 +17,17 @@
 #[derive(Default)]
 struct ProxyHistory {
     /// When each proxy was down or paused: from, to.
-    downtime: BTreeMap<String, Vec<(At, At)>>,
+    downtime: BTreeMap<String, Vec<(Timestamp, Timestamp)>>,
     /// Ends of processes: proxy, time, and whether it was killed.
-    ends: Vec<(String, At, bool)>,
+    ends: Vec<(String, Timestamp, bool)>,
     up: BTreeSet<String>,
-    starts: Vec<At>,
+    starts: Vec<Timestamp>,
     /// When faults degraded the network paths between proxies.
-    network_faults: Vec<(At, At)>,
-    last_change: At,
+    network_faults: Vec<(Timestamp, Timestamp)>,
+    last_change: Timestamp,
 }
 
-fn history(records: &[Record], end: At) -> ProxyHistory {
+fn history(records: &[Record], end: Timestamp) -> ProxyHistory {
     let mut history = ProxyHistory::default();
     for record in records {
         let t = record.t;
@@ -61,14 +61,14 @@
     history
 }
 
-fn recently_affected(spans: Option<&Vec<(At, At)>>, at: At) -> bool {
+fn recently_affected(spans: Option<&Vec<(Timestamp, Timestamp)>>, at: Timestamp) -> bool {
     spans.into_iter().flatten().any(|(from, to)| *from <= at && at <= *to + FAULT_AFTERMATH)
 }
 
-type ProxyViews<'a> = Vec<(At, &'a [String], &'a [String], u64)>;
+type ProxyViews<'a> = Vec<(Timestamp, &'a [String], &'a [String], u64)>;
 
 /// Fills in the figures on membership views.
-pub fn fill(records: &[Record], (start, end): (At, At), figures: &mut FleetFigures) {
+pub fn fill(records: &[Record], (start, end): (Timestamp, Timestamp), figures: &mut FleetFigures) {
     let history = history(records, end);
     let mut views: BTreeMap<&str, ProxyViews> = BTreeMap::new();
     for record in records {
@@ -116,7 +116,7 @@
     let agreed = |views: &ProxyViews| {
         let right = |present: &[String]| present.iter().collect::<BTreeSet<_>>() == running;
         let wrong = views.iter().rev().find(|(t, present, ..)| *t > last && !right(present));
-        let after = |at: At| views.iter().find(|(t, ..)| *t > at).map_or(end, |(t, ..)| *t);
+        let after = |at: Timestamp| views.iter().find(|(t, ..)| *t > at).map_or(end, |(t, ..)| *t);
         wrong.map_or(after(last), |(t, ..)| after(*t)).since(last).secs()
     };
     let up = views.iter().filter(|(viewer, _)| history.up.contains(**viewer));
--- a/crates/lab/src/peer_network.rs
+++ b/crates/lab/src/peer_network.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::event_loop::{Component, ConnId, ConnectionEnd, EventLoop, ListenerId, SocketId};
 use crate::record::RecordKind;
 use crate::scenario::{FaultKind, Fleet};
@@ -120,7 +120,7 @@
     traffic: Vec<TrafficCount>,
     /// Datagrams and connections from senders that are no proxy.
     unknown_senders: u64,
-    remembered: BTreeMap<Pair, VecDeque<(At, Vec<u8>)>>,
+    remembered: BTreeMap<Pair, VecDeque<(Timestamp, Vec<u8>)>>,
     streams: StreamForwarder<Pair>,
     rng: ChaCha8Rng,
 }
@@ -220,7 +220,7 @@
     }
 
     /// Stores a forwarded datagram while a fault is active that sends datagrams again.
-    fn remember(&mut self, now: At, pair: Pair, bytes: &[u8]) {
+    fn remember(&mut self, now: Timestamp, pair: Pair, bytes: &[u8]) {
         let replays =
             |installed: &InstalledFault| matches!(installed.fault.kind, FaultKind::Replay | FaultKind::Flood);
         if !self.faults.values().any(replays) {
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -12,7 +12,7 @@
 use rustix::process::{kill_process, Pid, Signal};
 
 use crate::balancer;
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::component::Command;
 use crate::fault_steps::FaultId;
 use crate::record::RecordKind;
@@ -30,10 +30,10 @@
 pub enum ProcessState {
     /// Is not part of the deployment.
     NotDeployed,
-    Starting(At),
+    Starting(Timestamp),
     Ready,
     /// Asked to exit, at that time.
-    Stopping(At),
+    Stopping(Timestamp),
     Stopped,
 }
 
@@ -56,14 +56,14 @@
     /// Faults that pause the process, with the share of time in which it still runs.
     pauses: BTreeMap<FaultId, f64>,
     paused: bool,
-    last_ready_check: At,
+    last_ready_check: Timestamp,
     usage_baseline: UsageSample,
 }
 
 /// Resource counters of a process at one point in time.
 #[derive(Clone, Copy, Default)]
 struct UsageSample {
-    at: At,
+    at: Timestamp,
     cpu_ns: u64,
     wakeups: u64,
     memory: u64,
@@ -106,12 +106,12 @@
     }
 
     pub fn set_started(&mut self, child: Child, input: Option<ChildStdin>) {
-        (self.child, self.state) = (Some(child), ProcessState::Starting(At::now()));
+        (self.child, self.state) = (Some(child), ProcessState::Starting(Timestamp::now()));
         self.input = input;
         (self.paused, self.usage_baseline) = (false, UsageSample::default());
         // Pauses that began before a restart do not apply to the new process.
         self.pauses.clear();
-        self.usage_baseline.at = At::now();
+        self.usage_baseline.at = Timestamp::now();
     }
 
     pub fn is_running(&self) -> bool {
@@ -132,20 +132,20 @@
         }
         self.pauses.insert(fault_id, share);
         let how = if share > 0.0 { format!("slow {share}") } else { "freeze".to_string() };
-        self.apply_pauses(At::now());
+        self.apply_pauses(Timestamp::now());
         Some(RecordKind::ProxyDown { proxy: self.name.clone(), how })
     }
 
     /// Ends one pause; returns the record to write if no other pause is left.
     pub fn resume(&mut self, fault_id: FaultId) -> Option<RecordKind> {
         self.pauses.remove(&fault_id)?;
-        self.apply_pauses(At::now());
+        self.apply_pauses(Timestamp::now());
         (self.pauses.is_empty() && self.state == ProcessState::Ready)
             .then(|| RecordKind::ProxyUp { proxy: self.name.clone() })
     }
 
     /// Sends SIGSTOP or SIGCONT so that the process runs for the smallest share that its pauses allow.
-    pub fn apply_pauses(&mut self, now: At) {
+    pub fn apply_pauses(&mut self, now: Timestamp) {
         let share = self.pauses.values().copied().fold(1.0, f64::min);
         let position = now.0.rem_euclid(SLOW_PROXY_PERIOD.0) as f64 / SLOW_PROXY_PERIOD.0 as f64;
         let stop = position >= share && !self.pauses.is_empty();
@@ -172,11 +172,11 @@
             self.pauses.clear();
             self.paused = false;
         }
-        self.state = ProcessState::Stopping(At::now());
+        self.state = ProcessState::Stopping(Timestamp::now());
     }
 
     /// Applies pauses and checks for exit, readiness and timeouts. Blocks for a readiness check at most.
-    pub fn poll(&mut self, now: At) -> StateChange {
+    pub fn poll(&mut self, now: Timestamp) -> StateChange {
         self.apply_pauses(now);
         let ended = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
         match (self.state, ended) {
@@ -253,7 +253,7 @@
         };
         let cpu_ns = self.proc("schedstat").split(' ').next().and_then(|text| text.parse().ok()).unwrap_or(0);
         let (wakeups, memory) = (field("voluntary_ctxt_switches:"), field("RssAnon:") * 1024);
-        UsageSample { at: At::now(), cpu_ns, wakeups, memory }
+        UsageSample { at: Timestamp::now(), cpu_ns, wakeups, memory }
     }
 
     fn descriptors(&self) -> u64 {
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -8,12 +8,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::clock::At;
+use crate::clock::Timestamp;
 use crate::scenario::FaultKind;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    pub t: At,
+    pub t: Timestamp,
     #[serde(rename = "part")]
     pub component: String,
     #[serde(flatten)]
@@ -30,9 +30,9 @@
         intent: u64,
         class: String,
         to: String,
-        due: At,
+        due: Timestamp,
         #[serde(rename = "cut_off")]
-        deadline: At,
+        deadline: Timestamp,
         /// 0 for the first attempt.
         #[serde(rename = "try_no")]
         retry_number: u16,
@@ -77,7 +77,7 @@
     IntentFinished {
         intent: u64,
         class: String,
-        due: At,
+        due: Timestamp,
         #[serde(rename = "honoured")]
         served: bool,
         #[serde(rename = "tries")]
@@ -96,7 +96,7 @@
     /// A complete request arrived; `first` is when its first byte arrived.
     Arrived {
         id: String,
-        first: At,
+        first: Timestamp,
         class: String,
     },
     #[serde(rename = "began")]
@@ -125,7 +125,7 @@
         by: String,
         to: String,
         #[serde(rename = "cut_off")]
-        deadline: At,
+        deadline: Timestamp,
     },
     CallEnded {
         id: String,
@@ -285,7 +285,7 @@
         Recorder { file: self.file.clone(), component: component.to_string() }
     }
 
-    pub fn write(&self, t: At, kind: RecordKind) {
+    pub fn write(&self, t: Timestamp, kind: RecordKind) {
         let record = Record { t, component: self.component.clone(), kind };
         let Ok(mut line) = serde_json::to_vec(&record) else { return };
         line.push(b'\n');
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,7 +5,7 @@
 
 use plotters::prelude::*;
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::experiment::{Results, RunOutcome};
 use crate::record::{self, Record, RecordKind};
 use crate::run;
@@ -47,7 +47,13 @@
     results.runs.iter().map(one).collect()
 }
 
-fn picture(variant: &str, seed: u64, dir: &Path, start: At, duration: Micros) -> Result<RunCharts, String> {
+fn picture(
+    variant: &str,
+    seed: u64,
+    dir: &Path,
+    start: Timestamp,
+    duration: Micros,
+) -> Result<RunCharts, String> {
     let records = record::read(&run::records_path(dir))?;
     let slices = run_figures::slices(&records, start, duration);
     let bands = bands(&records, start, duration);
@@ -106,9 +112,9 @@
     Ok(RunCharts { title: format!("{variant}, seed {seed}"), svgs })
 }
 
-fn bands(records: &[Record], start: At, duration: Micros) -> Vec<FaultBand> {
+fn bands(records: &[Record], start: Timestamp, duration: Micros) -> Vec<FaultBand> {
     let mut bands: Vec<FaultBand> = Vec::new();
-    let second = |t: At| (t.0 - start.0) as f64 / 1e6;
+    let second = |t: Timestamp| (t.0 - start.0) as f64 / 1e6;
     for record in records {
         match &record.kind {
             RecordKind::Fault { text, on: true, .. } => {
@@ -134,7 +140,7 @@
 type Line = (String, Vec<(f64, f64)>);
 
 /// The limit over time, read from the proxies' log lines on a change of mode.
-fn limits(dir: &Path, start: At) -> Vec<Line> {
+fn limits(dir: &Path, start: Timestamp) -> Vec<Line> {
     let files = std::fs::read_dir(dir).into_iter().flatten().flatten().map(|entry| entry.path());
     let mut lines = Vec::new();
     for path in files.filter(|path| path.extension().is_some_and(|e| e == "log")) {
@@ -152,7 +158,7 @@
     lines
 }
 
-fn start_unix_seconds(start: At) -> f64 {
+fn start_unix_seconds(start: Timestamp) -> f64 {
     crate::agent::unix_ms(start) / 1000.0
 }
 
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::fleet_figures;
 use crate::record::{Record, RecordKind};
 use crate::scenario::{Effect, Group, Scenario, Tier};
@@ -52,7 +52,7 @@
     pub rule: Rule,
     /// The request concerned, if any.
     pub id: Option<String>,
-    pub at: At,
+    pub at: Timestamp,
     pub text: String,
 }
 
@@ -83,11 +83,11 @@
 struct Request {
     class: String,
     to: String,
-    sent: At,
-    deadline: At,
-    responses: Vec<(At, u16)>,
-    lost: Option<(At, String)>,
-    gave_up: Option<(At, bool)>,
+    sent: Timestamp,
+    deadline: Timestamp,
+    responses: Vec<(Timestamp, u16)>,
+    lost: Option<(Timestamp, String)>,
+    gave_up: Option<(Timestamp, bool)>,
     unsolicited: bool,
     /// The calling backend, if this is a call to a lower tier.
     caller: Option<String>,
@@ -95,33 +95,33 @@
     accepted: bool,
 }
 
-type Spans = BTreeMap<String, Vec<(At, At, String)>>;
+type Spans = BTreeMap<String, Vec<(Timestamp, Timestamp, String)>>;
 
 #[derive(Default)]
 struct RequestLog {
     requests: BTreeMap<String, Request>,
-    executions: BTreeMap<String, Vec<(At, String)>>,
-    arrived: BTreeMap<String, Vec<(At, String)>>,
-    offered: BTreeMap<String, Vec<At>>,
+    executions: BTreeMap<String, Vec<(Timestamp, String)>>,
+    arrived: BTreeMap<String, Vec<(Timestamp, String)>>,
+    offered: BTreeMap<String, Vec<Timestamp>>,
     abandoned: BTreeSet<String>,
     /// By proxy and backend: when the agent announced the backend's state, and whether it was ready.
-    announcements: BTreeMap<(String, String), Vec<(At, bool)>>,
+    announcements: BTreeMap<(String, String), Vec<(Timestamp, bool)>>,
     /// By proxy and backend: the latest announced state, which a restarted proxy knows from its start.
     latest_health: BTreeMap<(String, String), bool>,
     downtimes: Spans,
     link_cuts: Spans,
-    starts: BTreeMap<String, Vec<(At, bool)>>,
+    starts: BTreeMap<String, Vec<(Timestamp, bool)>>,
     /// When each backend's process ended.
-    stops: BTreeMap<String, Vec<At>>,
-    end: At,
+    stops: BTreeMap<String, Vec<Timestamp>>,
+    end: Timestamp,
 }
 
-fn start_span(spans: &mut Spans, name: &str, at: At, how: &str) {
-    spans.entry(name.to_string()).or_default().push((at, At(i64::MAX), how.to_string()));
+fn start_span(spans: &mut Spans, name: &str, at: Timestamp, how: &str) {
+    spans.entry(name.to_string()).or_default().push((at, Timestamp(i64::MAX), how.to_string()));
 }
 
-fn end_span(spans: &mut Spans, name: &str, at: At) {
-    let open = spans.get_mut(name).into_iter().flatten().filter(|(_, to, _)| *to == At(i64::MAX));
+fn end_span(spans: &mut Spans, name: &str, at: Timestamp) {
+    let open = spans.get_mut(name).into_iter().flatten().filter(|(_, to, _)| *to == Timestamp(i64::MAX));
     open.for_each(|span| span.1 = at);
 }
 
@@ -213,7 +213,7 @@
     }
 
     /// How long planned faults kept a proxy from running within a time span.
-    fn paused_time(&self, proxy: &str, from: At, to: At) -> Micros {
+    fn paused_time(&self, proxy: &str, from: Timestamp, to: Timestamp) -> Micros {
         let mut all = Micros::ZERO;
         for (began, ended, how) in self.downtimes.get(proxy).into_iter().flatten() {
             let part = match how.split_once(' ') {
@@ -230,7 +230,7 @@
     }
 
     /// Whether a planned fault explains a missing or late response.
-    fn excused(&self, request: &Request, until: At) -> bool {
+    fn excused(&self, request: &Request, until: Timestamp) -> bool {
         let overlaps = |spans: &Spans, name: &str, skip: &[&str]| {
             let spans = spans.get(name).into_iter().flatten();
             spans
@@ -454,13 +454,13 @@
 fn check_slow_start(
     log: &RequestLog,
     host: &str,
-    from: At,
+    from: Timestamp,
     (tier, cores): (&Tier, usize),
     verdict: &mut Verdict,
 ) {
     let offered = log.offered.get(host).map_or(&[][..], |all| all.as_slice());
     let ended = log.stops.get(host).into_iter().flatten().find(|at| **at > from).copied();
-    let until = (from + tier.cold_ramp).min(ended.unwrap_or(At(i64::MAX)) + Micros(1));
+    let until = (from + tier.cold_ramp).min(ended.unwrap_or(Timestamp(i64::MAX)) + Micros(1));
     let Some((at, count, bearable)) = fleet_figures::peak_cold_load(offered, (from, until), tier, cores).over
     else {
         return;
@@ -474,7 +474,7 @@
 }
 
 /// All records of a request and of its calls, one line each, with the faults and changes of state meanwhile.
-pub fn timeline(records: &[Record], id: &str, start: At, logs: &[(String, String)]) -> Vec<String> {
+pub fn timeline(records: &[Record], id: &str, start: Timestamp, logs: &[(String, String)]) -> Vec<String> {
     let below = format!("{id}.");
     let about =
         |record: &Record| record.kind.id().is_some_and(|found| found == id || found.starts_with(&below));
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -14,7 +14,7 @@
 
 use crate::agent::{self, BackendEntry};
 use crate::backend;
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::component::{Command, ComponentHandle, Spec};
 use crate::configuration::{self, FleetSettings, ProxySettings};
 use crate::deployment::zone;
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct CompletedRun {
     pub dir: PathBuf,
-    pub start: At,
+    pub start: Timestamp,
     pub duration: Micros,
 }
 
@@ -76,7 +76,7 @@
     address_base: (u8, u8, u16),
     components: BTreeMap<String, ComponentHandle>,
     proxies: Vec<Process>,
-    last_process_check: At,
+    last_process_check: Timestamp,
     entries: BTreeMap<(usize, usize), BackendEntry>,
     /// The list of backends at the start of the run, by tier.
     initial_entries: BTreeMap<usize, Vec<BackendEntry>>,
@@ -84,7 +84,7 @@
     agent_addresses: BTreeMap<(usize, usize), SocketAddr>,
     agent_moves: u16,
     load_started: bool,
-    start: At,
+    start: Timestamp,
 }
 
 impl ScenarioRun<'_> {
@@ -400,14 +400,14 @@
     /// Checks the proxies' processes and handles what changed. A crash while the deployment starts up ends
     /// the run.
     fn check_processes(&mut self, starting_up: bool) -> Result<(), Failure> {
-        let now = At::now();
+        let now = Timestamp::now();
         for index in 0..self.proxies.len() {
             let change = self.proxies[index].poll(now);
             let proxy = self.proxies[index].name.clone();
             match change {
                 StateChange::Unchanged => {}
                 StateChange::Ready => {
-                    self.recorder.write(At::now(), RecordKind::ProxyUp { proxy: proxy.clone() });
+                    self.recorder.write(Timestamp::now(), RecordKind::ProxyUp { proxy: proxy.clone() });
                     if self.load_started && self.proxies[index].tier == 0 {
                         self.set_client_target(&proxy, true);
                     }
@@ -417,8 +417,10 @@
                     return Err(Failure::InvalidInput(format!("{proxy} ended at its start ({how})")));
                 }
                 StateChange::Crashed(how) => {
-                    self.recorder
-                        .write(At::now(), RecordKind::ProxyDown { proxy, how: format!("crash: {how}") });
+                    self.recorder.write(
+                        Timestamp::now(),
+                        RecordKind::ProxyDown { proxy, how: format!("crash: {how}") },
+                    );
                 }
                 StateChange::StartTimedOut => {
                     let after = crate::process::START_TIMEOUT;
@@ -480,14 +482,17 @@
     fn apply_step(&mut self, step: FaultStep) -> Result<(), Failure> {
         match step {
             FaultStep::RecordFault { text, on, kind, affected } => {
-                self.recorder.write(At::now(), RecordKind::Fault { text, on, fault: Some(kind), affected });
+                self.recorder
+                    .write(Timestamp::now(), RecordKind::Fault { text, on, fault: Some(kind), affected });
             }
             FaultStep::SendCommand(name, command) => self.send(&name, command),
             FaultStep::SetHealth { tier, n, health } => self.set_backend_health(tier, n, health),
             FaultStep::KillBackend(name) => {
                 let killed = self.components.get_mut(&name).is_some_and(ComponentHandle::kill);
                 if killed {
-                    self.recorder.named(&name).write(At::now(), RecordKind::Stopped { how: "killed".into() });
+                    self.recorder
+                        .named(&name)
+                        .write(Timestamp::now(), RecordKind::Stopped { how: "killed".into() });
                 } else {
                     self.send(&name, Command::Backend(backend::Command::Crash));
                 }
@@ -512,7 +517,7 @@
                 process.stop_faults.insert(fault_id);
                 if process.is_running() {
                     let how = if kind == FaultKind::Kill { "kill" } else { "term" };
-                    self.recorder.write(At::now(), RecordKind::ProxyDown { proxy, how: how.into() });
+                    self.recorder.write(Timestamp::now(), RecordKind::ProxyDown { proxy, how: how.into() });
                     process.stop(kind == FaultKind::Kill);
                 }
             }
@@ -525,12 +530,12 @@
             FaultStep::PauseProxy { proxy, share, fault_id } => {
                 let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
                 let what = self.proxies[index].pause(fault_id, share);
-                what.into_iter().for_each(|what| self.recorder.write(At::now(), what));
+                what.into_iter().for_each(|what| self.recorder.write(Timestamp::now(), what));
             }
             FaultStep::ResumeProxy { proxy, fault_id } => {
                 let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
                 let what = self.proxies[index].resume(fault_id);
-                what.into_iter().for_each(|what| self.recorder.write(At::now(), what));
+                what.into_iter().for_each(|what| self.recorder.write(Timestamp::now(), what));
             }
             FaultStep::AddProxy { proxy } => {
                 let Some(index) = self.proxy_index(&proxy) else { return Ok(()) };
@@ -542,7 +547,8 @@
                 self.proxies[index].deployed = false;
                 self.set_client_target(&proxy, false);
                 if self.proxies[index].is_running() {
-                    self.recorder.write(At::now(), RecordKind::ProxyDown { proxy, how: "shrink".into() });
+                    self.recorder
+                        .write(Timestamp::now(), RecordKind::ProxyDown { proxy, how: "shrink".into() });
                     self.proxies[index].stop(false);
                 }
             }
@@ -556,7 +562,7 @@
         let Some((tier, _, n)) = components.first().copied() else { return Ok(()) };
         let address = moved.then(|| self.address(tier, 'm', n));
         if let Some(entry) = self.entries.get_mut(&(tier, n)) {
-            entry.started_ms = agent::unix_ms(At::now());
+            entry.started_ms = agent::unix_ms(Timestamp::now());
             if scenario.tiers[tier].link.is_none() {
                 entry.address = address.unwrap_or(entry.address);
             }
@@ -592,7 +598,7 @@
         let intents = arrivals::intents(scenario, self.seed);
         // Idle connections are opened first, at a pace that the listen backlog can take.
         let opening = Micros(scenario.client_behavior.idle as i64 * clients::IDLE_CONNECT_INTERVAL.0 * 4 / 3);
-        self.start = At::now() + Micros::from_millis(150) + opening;
+        self.start = Timestamp::now() + Micros::from_millis(150) + opening;
         let spec = clients::Spec {
             name: "callers".to_string(),
             classes: scenario.classes.clone(),
@@ -613,7 +619,7 @@
         let mut fault_count = scenario.faults.len();
         let last = self.start + scenario.duration + Micros::from_millis(8000);
         loop {
-            if !self.load_started && At::now() >= self.start {
+            if !self.load_started && Timestamp::now() >= self.start {
                 self.load_started = true;
                 self.proxies.iter_mut().for_each(Process::reset_usage);
             }
@@ -621,20 +627,20 @@
                 return Err(Failure::Interrupted);
             }
             for mut fault in injected.iter().flat_map(|injected| injected.try_iter()) {
-                fault.at = At::now().since(self.start);
+                fault.at = Timestamp::now().since(self.start);
                 steps.extend(fault_steps::steps(scenario, &[fault], fault_count));
                 steps.make_contiguous().sort_by_key(|(at, _)| *at);
                 fault_count += 1;
             }
-            while let Some((_, step)) = steps.pop_front_if(|(at, _)| self.start + *at <= At::now()) {
+            while let Some((_, step)) = steps.pop_front_if(|(at, _)| self.start + *at <= Timestamp::now()) {
                 self.apply_step(step)?;
             }
-            if At::now().since(self.last_process_check) >= PROCESS_CHECK_INTERVAL {
-                self.last_process_check = At::now();
+            if Timestamp::now().since(self.last_process_check) >= PROCESS_CHECK_INTERVAL {
+                self.last_process_check = Timestamp::now();
                 self.check_processes(false)?;
             }
-            progress(At::now().since(self.start).secs() / scenario.duration.secs());
-            let mut finished = At::now() > last;
+            progress(Timestamp::now().since(self.start).secs() / scenario.duration.secs());
+            let mut finished = Timestamp::now() > last;
             for (name, component) in &mut self.components {
                 if component.has_exited() {
                     match name.as_str() {
@@ -653,7 +659,7 @@
             std::thread::sleep(LOOP_INTERVAL);
         }
         for what in self.proxies.iter().filter_map(Process::usage) {
-            self.recorder.write(At::now(), what);
+            self.recorder.write(Timestamp::now(), what);
         }
         Ok(())
     }
@@ -723,13 +729,13 @@
         address_base: address_base(),
         components: BTreeMap::new(),
         proxies: Vec::new(),
-        last_process_check: At::default(),
+        last_process_check: Timestamp::default(),
         entries: BTreeMap::new(),
         initial_entries: BTreeMap::new(),
         agent_addresses: BTreeMap::new(),
         agent_moves: 0,
         load_started: false,
-        start: At::now(),
+        start: Timestamp::now(),
     };
     let result = run.start_deployment().and_then(|()| run.play(injected, progress));
     let stopped = run.stop_all();
--- a/crates/lab/src/run_figures.rs
+++ b/crates/lab/src/run_figures.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::figures::Figures;
 use crate::fleet_figures;
 use crate::record::{Record, RecordKind};
@@ -13,7 +13,7 @@
 
 const END_RATIO: f64 = 0.25; // last part of the run, whose figures show whether service recovered
 
-pub fn figures(records: &[Record], scenario: &Scenario, start: At) -> Figures {
+pub fn figures(records: &[Record], scenario: &Scenario, start: Timestamp) -> Figures {
     let mut figures = Figures::default();
     let mut latencies = histogram();
     let end_from = start + scenario.duration.scaled(1.0 - END_RATIO);
@@ -91,12 +91,12 @@
 pub const SLICE_COUNT: usize = 60;
 
 /// Divides a run into slices of equal length.
-pub fn slices(records: &[Record], start: At, duration: Micros) -> Vec<Slice> {
+pub fn slices(records: &[Record], start: Timestamp, duration: Micros) -> Vec<Slice> {
     let mut slices = vec![Slice::default(); SLICE_COUNT];
     let mut latencies: Vec<_> = (0..SLICE_COUNT).map(|_| histogram()).collect();
     let mut held: BTreeMap<&str, i64> = BTreeMap::new();
     let dead = fleet_figures::dead(records, start + duration);
-    let place = |t: At| {
+    let place = |t: Timestamp| {
         let part = (t.0 - start.0) as f64 / duration.0.max(1) as f64;
         (0.0..1.0).contains(&part).then_some((part * SLICE_COUNT as f64) as usize)
     };
--- a/crates/lab/src/stream_forwarder.rs
+++ b/crates/lab/src/stream_forwarder.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::clock::{At, Micros};
+use crate::clock::{Micros, Timestamp};
 use crate::event_loop::{ConnId, EventLoop};
 
 /// Timer event: bytes received on this connection may be due for forwarding.
@@ -36,9 +36,9 @@
     other: ConnId,
     tag: T,
     /// Chunks with the time at which each is forwarded; an empty chunk stands for the end of stream.
-    in_flight: VecDeque<(At, Vec<u8>)>,
+    in_flight: VecDeque<(Timestamp, Vec<u8>)>,
     in_flight_bytes: usize,
-    last_release: At,
+    last_release: Timestamp,
     paused: bool,
     eof_forwarded: bool,
 }
@@ -61,7 +61,7 @@
             tag,
             in_flight: VecDeque::new(),
             in_flight_bytes: 0,
-            last_release: At::default(),
+            last_release: Timestamp::default(),
             paused: false,
             eof_forwarded: false,
         };
--- a/crates/lab/tests/fleet_figures.rs
+++ b/crates/lab/tests/fleet_figures.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use sparlug_lab::clock::At;
+use sparlug_lab::clock::Timestamp;
 use sparlug_lab::figures::{FleetFigures, FIGURES};
 use sparlug_lab::fleet_figures::compute;
 use sparlug_lab::record::{Record, RecordKind};
@@ -39,13 +39,13 @@
 }
 
 fn record(ms: i64, component: &str, kind: RecordKind) -> Record {
-    Record { t: At(ms * 1000), component: component.to_string(), kind }
+    Record { t: Timestamp(ms * 1000), component: component.to_string(), kind }
 }
 
 /// The records of a client's request to a proxy and its arrival at a backend.
 fn request_to_backend(ms: i64, n: usize, proxy: &str, host: &str) -> [Record; 2] {
     let (id, class) = (format!("{ms}-{n}-{proxy}"), "read".to_string());
-    let (due, deadline) = (At(ms * 1000), At(ms * 1000 + 500_000));
+    let (due, deadline) = (Timestamp(ms * 1000), Timestamp(ms * 1000 + 500_000));
     let sent = RecordKind::Sent {
         id: id.clone(),
         intent: 1,
@@ -68,13 +68,13 @@
     record(
         ms + 10,
         "callers",
-        RecordKind::IntentFinished { intent: 1, class, due: At(ms * 1000), served, attempts: 1 },
+        RecordKind::IntentFinished { intent: 1, class, due: Timestamp(ms * 1000), served, attempts: 1 },
     )
 }
 
 fn fleet_figures(mut records: Vec<Record>) -> FleetFigures {
     records.sort_by_key(|record| record.t);
-    compute(&records, &scenario("").unwrap(), At(0))
+    compute(&records, &scenario("").unwrap(), Timestamp(0))
 }
 
 #[test]
@@ -180,10 +180,14 @@
 fn every_figure_can_be_bounded_and_an_unknown_one_is_reported_with_its_line() {
     for (name, _) in FIGURES {
         let scenario = scenario(&format!("[bounds]\nleast = {{ {name} = 1e12 }}\n")).unwrap();
-        let missed = run_figures::figures(&[], &scenario, At(0)).missed(&scenario.bounds);
+        let missed = run_figures::figures(&[], &scenario, Timestamp(0)).missed(&scenario.bounds);
         assert!(missed.len() == 1 && missed[0].starts_with(&format!("{name} is")), "{name}: {missed:?}");
         let scenario = scenario_with_upper_bound(name);
-        assert_eq!(run_figures::figures(&[], &scenario, At(0)).missed(&scenario.bounds).len(), 1, "{name}");
+        assert_eq!(
+            run_figures::figures(&[], &scenario, Timestamp(0)).missed(&scenario.bounds).len(),
+            1,
+            "{name}"
+        );
     }
     let fault = scenario("[bounds]\nmost = { deadest = 1 }\n").map(|_| ()).unwrap_err();
     assert!(fault.starts_with("forged.toml:22: bounds: figure \"deadest\": wanted one of idle"), "{fault}");
--- a/crates/lab/tests/parts.rs
+++ b/crates/lab/tests/parts.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use sparlug_lab::clock::{At, Micros};
+use sparlug_lab::clock::{Micros, Timestamp};
 use sparlug_lab::experiment::Experiment;
 use sparlug_lab::record::{self, Record, RecordKind, Recorder};
 use sparlug_lab::run_figures;
@@ -147,13 +147,13 @@
     let _ = std::fs::remove_file(&path);
     let recorder = Recorder::open(&path, "lab").unwrap();
     let what = RecordKind::ResponseReceived { id: "a".into(), status: 200, retry_after_ms: Some(1.5) };
-    recorder.named("callers").write(At(20), what.clone());
-    recorder.write(At(10), RecordKind::Note { text: "first".into() });
+    recorder.named("callers").write(Timestamp(20), what.clone());
+    recorder.write(Timestamp(10), RecordKind::Note { text: "first".into() });
     let complete = std::fs::read(&path).unwrap();
     std::fs::write(&path, [&complete[..], b"{\"t\":30,\"part\":\"cal"].concat()).unwrap();
     let read = record::read(&path).unwrap();
     assert_eq!(read.len(), 2);
-    assert_eq!(read[1], Record { t: At(20), component: "callers".into(), kind: what });
+    assert_eq!(read[1], Record { t: Timestamp(20), component: "callers".into(), kind: what });
     std::fs::write(&path, "{\"t\":30,\"nonsense\":1}\n").unwrap();
     assert!(record::read(&path).unwrap_err().contains(":1: no record"));
     std::fs::remove_file(&path).unwrap();
@@ -193,12 +193,12 @@
 fn latencies_count_from_the_due_time_and_bounds_report_misses() {
     let scenario = parse(calm_scenario()).unwrap().scenario(None, false).unwrap();
     let over = |t, due, served| Record {
-        t: At(t),
+        t: Timestamp(t),
         component: "callers".into(),
         kind: RecordKind::IntentFinished {
             intent: 1,
             class: "read".into(),
-            due: At(due),
+            due: Timestamp(due),
             served,
             attempts: 1,
         },
@@ -206,7 +206,7 @@
     // 900 ms from the due time, whether or not a stalled client sent it late.
     let records =
         [over(1_000_000, 100_000, true), over(1_010_000, 1_000_000, true), over(7_500_000, 7_000_000, false)];
-    let figures = run_figures::figures(&records, &scenario, At(0));
+    let figures = run_figures::figures(&records, &scenario, Timestamp(0));
     assert_eq!((figures.intents, figures.honoured), (3, 2));
     assert!((899.0..901.0).contains(&figures.max_ms));
     assert_eq!(figures.end_honoured_share, 0.0);
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use sparlug_lab::clock::{At, Micros};
+use sparlug_lab::clock::{Micros, Timestamp};
 use sparlug_lab::record::{Record, RecordKind};
 use sparlug_lab::rules::{judge, timeline, Rule, Verdict};
 use sparlug_lab::scenario::Scenario;
@@ -48,8 +48,8 @@
 
 const PROXY: &str = "front/p-0";
 
-fn at(ms: i64) -> At {
-    At(1_000_000_000 + ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp(1_000_000_000 + ms * 1000)
 }
 
 fn record(ms: i64, component: &str, kind: RecordKind) -> Record {
