--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -238,8 +238,12 @@
         };
         let stop = install_stop_flag()?;
         let dir = std::env::temp_dir().join(format!("sparlug-demo-{}", std::process::id()));
-        let options =
-            Options { program: current_program()?, dir: dir.clone(), stop, front: Some(self.listen) };
+        let options = Options {
+            program: current_program()?,
+            dir: dir.clone(),
+            stop,
+            first_proxy_address: Some(self.listen),
+        };
         let is_terminal = std::io::stdout().is_terminal();
         if std::io::stdin().is_terminal() {
             read_keys(fault_sender.clone(), 2);
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -48,8 +48,12 @@
     let source = ScenarioFile::of(Path::new("few.toml"), SCENARIO.to_string() + faults).unwrap();
     let scenario: Scenario = source.scenario(None, false).unwrap();
     let dir = scratch_dir(name);
-    let options =
-        Options { program: SPARLUG.into(), dir: dir.clone(), stop: Default::default(), front: None };
+    let options = Options {
+        program: SPARLUG.into(),
+        dir: dir.clone(),
+        stop: Default::default(),
+        first_proxy_address: None,
+    };
     let outcome = run::run(&scenario, 1, &options, &mut |_| {}).unwrap();
     let records = record::read(&run::records_path(&dir)).unwrap();
     std::fs::remove_dir_all(&dir).unwrap();
@@ -213,8 +217,12 @@
         let scenario =
             ScenarioFile::of(Path::new("few.toml"), scenario_text).unwrap().scenario(None, false).unwrap();
         let dir = scratch_dir(&format!("taken-{round}"));
-        let options =
-            Options { program: SPARLUG.into(), dir: dir.clone(), stop: Default::default(), front: None };
+        let options = Options {
+            program: SPARLUG.into(),
+            dir: dir.clone(),
+            stop: Default::default(),
+            first_proxy_address: None,
+        };
         run::run(&scenario, 1, &options, &mut |_| {}).unwrap();
         std::fs::remove_dir_all(&dir).unwrap();
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -149,7 +149,7 @@
                 let done = runs.len();
                 let dir = run::run_dir(&scratch.dir, &variant.name, seed);
                 let (program, stop) = (self.program.clone(), self.stop.clone());
-                let options = run::Options { program, dir, stop, front: None };
+                let options = run::Options { program, dir, stop, first_proxy_address: None };
                 let mut report_part = |part: f64| progress(done, total, part, &variant.name);
                 let ran = run::run(scenario, seed, &options, &mut report_part)?;
                 let run =
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -57,7 +57,7 @@
     pub dir: PathBuf,
     pub stop: Arc<AtomicBool>,
     /// Listen address of the first proxy of the first tier; by default an address of the run's own range.
-    pub front: Option<SocketAddr>,
+    pub first_proxy_address: Option<SocketAddr>,
 }
 
 /// The results of a completed run.
@@ -90,8 +90,8 @@
 impl ScenarioRun<'_> {
     /// Each component has an address of its own, different from those of other runs on this machine.
     fn address(&self, tier: usize, letter: char, n: usize) -> SocketAddr {
-        if let (Some(front), (0, 'p', 0)) = (self.options.front, (tier, letter, n)) {
-            return front;
+        if let (Some(address), (0, 'p', 0)) = (self.options.first_proxy_address, (tier, letter, n)) {
+            return address;
         }
         let (a, b, port) = self.address_base;
         let kind = "spalcmwfg".find(letter).unwrap_or(0) as u16;
@@ -701,7 +701,7 @@
 ) -> Result<CompletedRun, Failure> {
     let mut retries = 0..ADDRESS_RETRIES;
     loop {
-        let may_retry = retries.next().is_some() && options.front.is_none();
+        let may_retry = retries.next().is_some() && options.first_proxy_address.is_none();
         match run_once(scenario, seed, options, injected, progress) {
             // Another run or program uses one of the addresses; no load has been played yet.
             Err(Failure::InvalidInput(why)) if may_retry && why.contains("Address already in use") => {}
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -96,7 +96,7 @@
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("sparlug-hunt-{}-{count}", std::process::id()));
         let (program, stop) = (self.program.clone(), self.stop.clone());
-        let options = run::Options { program, dir: dir.clone(), stop, front: None };
+        let options = run::Options { program, dir: dir.clone(), stop, first_proxy_address: None };
         let ran = run::run(&scenario, seed, &options, &mut |_| {});
         let run = ran.and_then(|ran| {
             RunOutcome::of(&Variant::unchanged(), scenario, seed, ran).map_err(Failure::Environment)
