--- a/crates/command/src/lab.rs
+++ b/crates/command/src/lab.rs
@@ -311,7 +311,7 @@
             write(&out.join("results.json"), &bytes)?;
             let scenario = std::fs::read_to_string(file).unwrap_or_default();
             write(&out.join("scenario.toml"), scenario.as_bytes())?;
-            let page = report::page(&results, &report::pictures(&runs).map_err(CommandError::failure)?);
+            let page = report::page(&results, &report::charts(&runs).map_err(CommandError::failure)?);
             write(&out.join("report.html"), page.as_bytes())?;
             println!("report: {}", out.join("report.html").display());
         }
@@ -341,9 +341,10 @@
             Lab::Report { out } => {
                 let results = read_results(&out.join("results.json"))?;
                 let source = ScenarioFile::read(&out.join("scenario.toml")).map_err(CommandError::usage)?;
-                let pictures = report::pictures_of(&results, &source, &out).map_err(CommandError::usage)?;
+                let charts =
+                    report::charts_from_records(&results, &source, &out).map_err(CommandError::usage)?;
                 let path = out.join("report.html");
-                write(&path, report::page(&results, &pictures).as_bytes())?;
+                write(&path, report::page(&results, &charts).as_bytes())?;
                 println!("report: {}", path.display());
                 Ok(())
             }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -25,14 +25,19 @@
     text: String,
 }
 
-pub fn pictures(runs: &[RunOutcome]) -> Result<Vec<RunCharts>, String> {
-    let picture =
-        |run: &RunOutcome| picture(&run.variant, run.seed, &run.ran.dir, run.ran.start, run.ran.duration);
-    runs.iter().map(picture).collect()
+/// Draws the charts of runs that have just ended.
+pub fn charts(runs: &[RunOutcome]) -> Result<Vec<RunCharts>, String> {
+    let charts =
+        |run: &RunOutcome| run_charts(&run.variant, run.seed, &run.ran.dir, run.ran.start, run.ran.duration);
+    runs.iter().map(charts).collect()
 }
 
 /// Draws the charts from the records of earlier runs.
-pub fn pictures_of(results: &Results, source: &ScenarioFile, out: &Path) -> Result<Vec<RunCharts>, String> {
+pub fn charts_from_records(
+    results: &Results,
+    source: &ScenarioFile,
+    out: &Path,
+) -> Result<Vec<RunCharts>, String> {
     let duration = source.scenario(None, false)?.duration;
     let duration = if results.lasts_s > 0.0 { Micros::from_ms(results.lasts_s * 1000.0) } else { duration };
     let one = |run: &crate::experiment::RunResult| {
@@ -42,12 +47,12 @@
             RecordKind::Sent { due, .. } => Some(*due),
             _ => None,
         });
-        picture(&run.variant, run.seed, &dir, first.unwrap_or_default(), duration)
+        run_charts(&run.variant, run.seed, &dir, first.unwrap_or_default(), duration)
     };
     results.runs.iter().map(one).collect()
 }
 
-fn picture(
+fn run_charts(
     variant: &str,
     seed: u64,
     dir: &Path,
@@ -129,7 +134,7 @@
             _ => {}
         }
     }
-    // A fault without an end is drawn as a narrow band.
+    // A fault without an end is an event, not a state, and is drawn as a narrow band.
     bands
         .iter_mut()
         .filter(|band| band.to.is_nan())
@@ -221,7 +226,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-pub fn page(results: &Results, pictures: &[RunCharts]) -> String {
+pub fn page(results: &Results, charts: &[RunCharts]) -> String {
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}</title><style>\
          body{{font:14px/1.5 sans-serif;margin:2em;max-width:1640px}}pre{{background:#f5f5f2;padding:1em;overflow:auto}}\
@@ -238,8 +243,8 @@
         out += "</pre>";
     }
     out += "<div class=\"runs\">";
-    for picture in pictures {
-        out += &format!("<div><h2>{}</h2>{}</div>", escape(&picture.title), picture.svgs.join("<br>"));
+    for run in charts {
+        out += &format!("<div><h2>{}</h2>{}</div>", escape(&run.title), run.svgs.join("<br>"));
     }
     out + "</div></html>\n"
 }
