--- a/crates/lab/src/peer_network.rs
+++ b/crates/lab/src/peer_network.rs
@@ -118,7 +118,7 @@
     unknown_sender: Option<SocketId>,
     faults: BTreeMap<u32, InstalledFault>,
     traffic: Vec<TrafficCount>,
-    /// Datagrams and connections from senders that are no proxy.
+    /// Number of datagrams and connections from senders that are no proxy.
     unknown_senders: u64,
     remembered: BTreeMap<Pair, VecDeque<(Timestamp, Vec<u8>)>>,
     streams: StreamForwarder<Pair>,
@@ -414,12 +414,11 @@
         self.record_traffic(event_loop);
         let (lateness, _) = event_loop.timer_lateness();
         if lateness > MAX_TIMER_LATENESS {
-            let text = format!("the ways between proxies ran {:.1} ms late (p99) themselves", lateness.ms());
+            let text = format!("the emulated network between proxies ran {:.1} ms late (p99)", lateness.ms());
             event_loop.record(RecordKind::RunInvalid { text });
         }
         if self.unknown_senders > 0 {
-            let text =
-                format!("{} messages came between proxies from nobody that is known", self.unknown_senders);
+            let text = format!("{} messages between proxies came from unknown senders", self.unknown_senders);
             event_loop.record(RecordKind::Note { text });
         }
     }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -194,7 +194,7 @@
             (_, Some(status)) => {
                 (self.child, self.state) = (None, ProcessState::Stopped);
                 let log = fs::read_to_string(self.config.with_extension("log")).unwrap_or_default();
-                let last = log.lines().last().unwrap_or("it said nothing").to_string();
+                let last = log.lines().last().unwrap_or("its log is empty").to_string();
                 StateChange::Crashed(format!("{status}: {last}"))
             }
             (ProcessState::Starting(since), None)
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -291,7 +291,7 @@
             on_progress(
                 search_result.played,
                 search_result.found.len(),
-                &format!("cutting down schedule {}", search_result.found[n].number),
+                &format!("reducing schedule {}", search_result.found[n].number),
             );
             match self.finish(&search_result.found[n], started_at) {
                 Ok(found) => search_result.found[n] = found,
