--- a/crates/lab/src/membership_figures.rs
+++ b/crates/lab/src/membership_figures.rs
@@ -114,8 +114,8 @@
     let last = history.last_change.max(start);
     let running: BTreeSet<&String> = history.up.iter().collect();
     let agreed = |views: &ProxyViews| {
-        let right = |present: &[String]| present.iter().collect::<BTreeSet<_>>() == running;
-        let wrong = views.iter().rev().find(|(t, present, ..)| *t > last && !right(present));
+        let is_correct = |present: &[String]| present.iter().collect::<BTreeSet<_>>() == running;
+        let wrong = views.iter().rev().find(|(t, present, ..)| *t > last && !is_correct(present));
         let after = |at: Timestamp| views.iter().find(|(t, ..)| *t > at).map_or(end, |(t, ..)| *t);
         wrong.map_or(after(last), |(t, ..)| after(*t)).since(last).secs()
     };
@@ -125,7 +125,7 @@
     while at < end {
         let settling =
             history.starts.iter().any(|started| *started <= at && at.since(*started) < VIEW_SETTLE_TIME);
-        let parts = views.iter().filter_map(|(viewer, views)| {
+        let shares = views.iter().filter_map(|(viewer, views)| {
             let is_down = history
                 .downtime
                 .get(*viewer)
@@ -135,7 +135,7 @@
             let last = views[..views.partition_point(|(t, ..)| *t <= at)].last()?;
             (!is_down).then(|| 1.0 / last.3.max(1) as f64)
         });
-        let sum = parts.sum::<f64>();
+        let sum = shares.sum::<f64>();
         if !settling {
             figures.shares_most = figures.shares_most.max(sum);
         }
@@ -146,9 +146,9 @@
 /// Whether the network faults only lost, delayed or corrupted some datagrams, without a partition. Such
 /// faults don't excuse considering a running proxy dead.
 fn only_lossy_faults(records: &[Record]) -> bool {
-    let parts = |record: &Record| {
+    let is_partition = |record: &Record| {
         let what = &record.kind;
         matches!(what, RecordKind::Fault { fault: Some(FaultKind::Partition | FaultKind::Bridge), .. })
     };
-    !records.iter().any(parts)
+    !records.iter().any(is_partition)
 }
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -139,21 +139,21 @@
     }
 
     fn add(&mut self, record: &Record) {
-        let Record { t, component: part, kind: what } = record;
+        let Record { t, component, kind } = record;
         let t = *t;
         self.end = self.end.max(t);
-        match what {
+        match kind {
             RecordKind::Sent { id, class, to, deadline, .. } => {
                 let request = self.request(id);
                 (request.class, request.to, request.sent, request.deadline, request.accepted) =
                     (class.clone(), to.clone(), t, *deadline, true);
             }
             RecordKind::CallSent { id, to, deadline, .. } => {
-                let (class, part) = (id.clone(), part.clone());
+                let (class, caller) = (id.clone(), component.clone());
                 let request = self.request(id);
                 (request.class, request.to, request.sent, request.deadline) =
                     (class, to.clone(), t, *deadline);
-                (request.caller, request.accepted) = (Some(part), true);
+                (request.caller, request.accepted) = (Some(caller), true);
             }
             RecordKind::ResponseReceived { id, status, .. } => self.request(id).responses.push((t, *status)),
             RecordKind::CallEnded { id, status: 0 } => {
@@ -171,11 +171,11 @@
             RecordKind::Resent { id } => self.request(id).accepted = false,
             RecordKind::SendIncomplete { id, .. } => self.request(id).accepted = false,
             RecordKind::ProcessingStarted { id } => {
-                self.executions.entry(id.clone()).or_default().push((t, part.clone()))
+                self.executions.entry(id.clone()).or_default().push((t, component.clone()))
             }
             RecordKind::Arrived { id, first, .. } => {
-                self.arrived.entry(id.clone()).or_default().push((*first, part.clone()));
-                self.offered.entry(part.clone()).or_default().push(t);
+                self.arrived.entry(id.clone()).or_default().push((*first, component.clone()));
+                self.offered.entry(component.clone()).or_default().push(t);
             }
             RecordKind::CallerGone { id, .. } => drop(self.abandoned.insert(id.clone())),
             RecordKind::HealthReported { proxy, host, health, .. } => {
@@ -206,8 +206,10 @@
             }
             RecordKind::Cut { link, how } => start_span(&mut self.link_cuts, link, t, how),
             RecordKind::Restored { link } => end_span(&mut self.link_cuts, link, t),
-            RecordKind::Started { warm, .. } => self.starts.entry(part.clone()).or_default().push((t, *warm)),
-            RecordKind::Stopped { .. } => self.stops.entry(part.clone()).or_default().push(t),
+            RecordKind::Started { warm, .. } => {
+                self.starts.entry(component.clone()).or_default().push((t, *warm))
+            }
+            RecordKind::Stopped { .. } => self.stops.entry(component.clone()).or_default().push(t),
             _ => {}
         }
     }
@@ -216,14 +218,14 @@
     fn paused_time(&self, proxy: &str, from: Timestamp, to: Timestamp) -> Micros {
         let mut all = Micros::ZERO;
         for (began, ended, how) in self.downtimes.get(proxy).into_iter().flatten() {
-            let part = match how.split_once(' ') {
+            let paused_share = match how.split_once(' ') {
                 Some(("slow", share)) => 1.0 - share.parse().unwrap_or(1.0),
                 _ if how == "freeze" => 1.0,
                 _ => continue,
             };
             let (began, ended) = ((*began).max(from), (*ended).min(to));
             if ended >= began {
-                all = all + ended.since(began).scaled(part) + SLOW_PROXY_PERIOD;
+                all = all + ended.since(began).scaled(paused_share) + SLOW_PROXY_PERIOD;
             }
         }
         all
