--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -105,7 +105,8 @@
     spec: Spec,
     targets: Vec<Target>,
     attempts: BTreeMap<ConnId, Attempt>,
-    /// Pooled connections by target, and connections that stay open only to record unexpected bytes.
+    /// Pooled connections with the index of their target, and connections that stay open only to record
+    /// unexpected bytes, with `usize::MAX`.
     idle: BTreeMap<ConnId, usize>,
     /// Connections that send one request and then stay idle, and how many were requested and refused or
     /// closed.
@@ -333,16 +334,17 @@
         self.retry_or_finish(event_loop, attempt.intent, attempt.retry_number, refused, retry_after_ms);
     }
 
-    /// `safe`: the request is known not to have been executed.
+    /// Schedules a retry if retries are left and the request may be repeated, because it was not executed or is
+    /// safe; otherwise the intent ends.
     fn retry_or_finish(
         &mut self,
         event_loop: &mut Loop,
         intent: usize,
         retry_number: u16,
-        safe: bool,
+        not_executed: bool,
         retry_after_ms: Option<f64>,
     ) {
-        let may_retry = safe || self.class(intent).effect == Effect::Safe;
+        let may_retry = not_executed || self.class(intent).effect == Effect::Safe;
         if !may_retry
             || retry_number >= self.spec.behavior.retries
             || event_loop.now > self.spec.start + self.spec.duration
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -73,6 +73,7 @@
     pub error_rate: f64,
     /// Whether it cancels requests whose client has gone.
     pub cancels: bool,
+    /// The capacity ratio of a backend at a cold start, and the time in which it grows to 1.
     pub cold_share: f64,
     pub cold_ramp: Micros,
     /// A cold backend that is offered this multiple of its capacity, over the window, falls over.
@@ -82,11 +83,14 @@
     pub reports: bool,
     /// Minimum and maximum number of calls to the next tier for each request, made one after another.
     pub calls: [u32; 2],
+    /// The time after which a backend closes an idle connection, which the proxies are told, and the connect
+    /// timeout of the proxies.
     pub idle: Micros,
     pub dial: Micros,
     /// Delay until the agents know of a change.
     #[serde(rename = "lag")]
     pub discovery_lag: Micros,
+    /// The time after the announcement of a drain in which a backend may still get new requests.
     pub drain_grace: Micros,
     #[serde(rename = "max_forwards")]
     pub max_attempts: u16,
--- a/crates/lab/src/fault_range.rs
+++ b/crates/lab/src/fault_range.rs
@@ -5,7 +5,8 @@
 use crate::clock::Micros;
 use crate::fault::FaultKind;
 
-/// The `[hunt]` table of a scenario. Without kinds, all that can affect its components are drawn.
+/// The `[hunt]` table of a scenario. Without `[[hunt.fault]]`, a default set of kinds is drawn for each kind
+/// of component that the scenario has.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SearchSpace {
--- a/crates/lab/src/fault_schedule.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// The kinds to draw from: those of the file, or all that can affect the deployment's components.
+/// The kinds to draw from: those of the file, or a default set for each kind of component of the deployment.
 fn fault_ranges(scenario: &Scenario) -> Vec<FaultRange> {
     use FaultKind::*;
     if !scenario.hunt.ranges.is_empty() {
--- a/crates/lab/src/fault_steps.rs
+++ b/crates/lab/src/fault_steps.rs
@@ -189,18 +189,18 @@
         }
         Drain => {
             push(at, set_health("Terminating"));
-            // The backend stops accepting connections only after the announcement and the grace period are
-            // certainly over.
-            let close_at = at + t.discovery_lag + t.drain_grace + Micros::from_millis(100);
-            push(close_at, FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Drain)));
+            // The backend itself refuses requests only once the announcement has certainly arrived and the
+            // grace period is over.
+            let refuse_at = at + t.discovery_lag + t.drain_grace + Micros::from_millis(100);
+            push(refuse_at, FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Drain)));
             if !fault.keeps_process {
                 push(
-                    close_at,
+                    refuse_at,
                     FaultStep::SendCommand(name.clone(), Command::Backend(backend::Command::Shutdown)),
                 );
             }
-            let back = end.map(|end| end.max(close_at + Micros::from_millis(300)));
-            push(back.unwrap_or(close_at + Micros::from_millis(300)), set_health("Gone"));
+            let back = end.map(|end| end.max(refuse_at + Micros::from_millis(300)));
+            push(back.unwrap_or(refuse_at + Micros::from_millis(300)), set_health("Gone"));
             if let Some(back) = back {
                 push(back, FaultStep::StartBackend { name, moved: fault.changes_address });
                 push(back + RESTART_NOTICE_DELAY, set_health("Ready"));
--- a/crates/lab/tests/fleet_figures.rs
+++ b/crates/lab/tests/fleet_figures.rs
@@ -142,7 +142,7 @@
     records.extend((0..190).map(|n| intent_finished(n * 100, !(50..110).contains(&n))));
     let figures = fleet_figures(records.clone());
     assert!((2.9..=3.1).contains(&figures.back_s), "{}", figures.back_s);
-    // While another fault is active, recovery is measured only after that fault ends.
+    // Another fault that ends later does not prolong the recovery: service is back before its end.
     records.push(fault(5000, FaultKind::Slow, "front/s-0", true));
     records.push(fault(13_000, FaultKind::Slow, "front/s-0", false));
     assert!(fleet_figures(records).back_s <= 3.1);
