--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -14,7 +14,8 @@
     pub honoured_share: f64,
     /// The served share over the last quarter of the run.
     pub end_honoured_share: f64,
-    /// Attempts of clients, and their outcomes by kind.
+    /// Attempts of clients, and their outcomes: refused with 429 or 503 (`turned_back`), another error status
+    /// (`forfeited`), given up early by the client (`left`), no response (`lost`).
     pub tries: u64,
     pub turned_back: u64,
     pub forfeited: u64,
--- a/crates/lab/src/http_message.rs
+++ b/crates/lab/src/http_message.rs
@@ -9,7 +9,7 @@
 /// A request or a response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
-    /// The method of a request; empty for a response, as is the path.
+    /// The method and the path of a request; both are empty for a response.
     pub method: String,
     pub path: String,
     /// The status of a response, or 0.
@@ -50,7 +50,7 @@
         message.headers.push((header.name.to_string(), value));
     }
     if message.header("Transfer-Encoding").is_some() {
-        return Err("a framing that the stand-ins don't speak".to_string());
+        return Err("unsupported Transfer-Encoding".to_string());
     }
     let length = match message.header("Content-Length") {
         None => 0,
@@ -58,7 +58,7 @@
             .parse::<usize>()
             .ok()
             .filter(|length| *length <= MAX_MESSAGE_BYTES)
-            .ok_or("a bad Content-Length")?,
+            .ok_or("invalid Content-Length")?,
     };
     if bytes.len() < head_length + length {
         return Ok(None);
