--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -107,15 +107,19 @@
 
     /// Its description in the records.
     pub fn text(&self, components: &str) -> String {
-        let sides = |sides: &[Vec<String>]| {
+        let join_sides = |sides: &[Vec<String>]| {
             sides.iter().map(|side| side.join("+")).collect::<Vec<_>>().join(" from ")
         };
         match (&self.sides[..], &self.pairs[..]) {
             ([], []) => format!("{:?} {components}", self.kind),
             ([], pairs) => {
-                format!("{:?} {}", self.kind, sides(&pairs.iter().map(|p| p.to_vec()).collect::<Vec<_>>()))
+                format!(
+                    "{:?} {}",
+                    self.kind,
+                    join_sides(&pairs.iter().map(|p| p.to_vec()).collect::<Vec<_>>())
+                )
             }
-            (parted, _) => format!("{:?} {}", self.kind, sides(parted)),
+            (sides, _) => format!("{:?} {}", self.kind, join_sides(sides)),
         }
     }
 }
--- a/crates/lab/src/fault_steps.rs
+++ b/crates/lab/src/fault_steps.rs
@@ -82,25 +82,25 @@
         let number = (first + number) as u32 * MAX_COMPONENTS_PER_FAULT;
         for round in 0..fault.times.max(1) {
             let begin = fault.at + fault.every.scaled(f64::from(round));
-            let parts = scenario.components(&fault.components);
+            let components = scenario.components(&fault.components);
             // All network paths affected at the same time are one fault.
-            let same_time =
-                fault.kind.component_kinds().contains('w') && parts.first().is_none_or(|(_, l, _)| *l == 'w');
+            let same_time = fault.kind.component_kinds().contains('w')
+                && components.first().is_none_or(|(_, l, _)| *l == 'w');
             if same_time && fault.step == Micros::ZERO {
-                let say = (fault.text(&fault.components), fault.components.clone());
+                let description = (fault.text(&fault.components), fault.components.clone());
                 push_network_steps(
                     scenario,
                     fault,
-                    (begin, fault.duration.map(|lasts| begin + lasts)),
+                    (begin, fault.duration.map(|duration| begin + duration)),
                     number,
-                    say,
+                    description,
                     &mut steps,
                 );
                 continue;
             }
-            for (i, (tier, letter, n)) in parts.into_iter().enumerate() {
+            for (i, (tier, letter, n)) in components.into_iter().enumerate() {
                 let at = begin + fault.step.scaled(i as f64);
-                let when = (at, fault.duration.map(|lasts| at + lasts));
+                let when = (at, fault.duration.map(|duration| at + duration));
                 let number = number + i as u32;
                 let name = match letter {
                     'k' => "callers".to_string(),
@@ -139,12 +139,12 @@
     fault: &Fault,
     (at, end): ActivePeriod,
     number: u32,
-    text: (String, String),
+    description: (String, String),
     steps: &mut Vec<(Micros, FaultStep)>,
 ) {
     // The scenario's validation has ruled out an error.
     let Ok((tier, pairs)) = scenario.network_paths(fault) else { return };
-    push_record_steps(fault.kind, (at, end), text, steps);
+    push_record_steps(fault.kind, (at, end), description, steps);
     let name = format!("{}/w", scenario.tiers[tier].name);
     let (kind, amount, jitter, chance) = (fault.kind, fault.amount, fault.jitter, fault.chance);
     let fault = peer_network::ActiveFault { kind, pairs, amount, jitter, chance };
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -586,12 +586,12 @@
         progress: &mut dyn FnMut(f64),
     ) -> Result<(), Failure> {
         let scenario = self.scenario;
-        let front = &scenario.tiers[0];
-        let targets = match front.balance {
-            Balance::Direct => {
-                (0..front.backends).map(|n| (self.name(0, 's', n), self.entries[&(0, n)].address)).collect()
-            }
-            _ => (0..front.proxies).map(|n| (self.name(0, 'p', n), self.client_address(n))).collect(),
+        let first_tier = &scenario.tiers[0];
+        let targets = match first_tier.balance {
+            Balance::Direct => (0..first_tier.backends)
+                .map(|n| (self.name(0, 's', n), self.entries[&(0, n)].address))
+                .collect(),
+            _ => (0..first_tier.proxies).map(|n| (self.name(0, 'p', n), self.client_address(n))).collect(),
         };
         let absent = scenario.initially_absent(0).into_iter().map(|n| self.name(0, 'p', n)).collect();
         // Drawn before the start time is set, since drawing may take a while.
@@ -605,7 +605,7 @@
             behavior: scenario.client_behavior.clone(),
             intents,
             closed_loop_clients: scenario.load.closed,
-            random_target: front.balance == Balance::Direct,
+            random_target: first_tier.balance == Balance::Direct,
             targets,
             absent_targets: absent,
             start: self.start,
--- a/crates/lab/src/run_figures.rs
+++ b/crates/lab/src/run_figures.rs
@@ -96,12 +96,12 @@
     let mut latencies: Vec<_> = (0..SLICE_COUNT).map(|_| histogram()).collect();
     let mut held: BTreeMap<&str, i64> = BTreeMap::new();
     let dead = fleet_figures::dead(records, start + duration);
-    let place = |t: Timestamp| {
-        let part = (t.0 - start.0) as f64 / duration.0.max(1) as f64;
-        (0.0..1.0).contains(&part).then_some((part * SLICE_COUNT as f64) as usize)
+    let slice_at = |t: Timestamp| {
+        let ratio = (t.0 - start.0) as f64 / duration.0.max(1) as f64;
+        (0.0..1.0).contains(&ratio).then_some((ratio * SLICE_COUNT as f64) as usize)
     };
     for record in records {
-        let Some(n) = place(record.t) else { continue };
+        let Some(n) = slice_at(record.t) else { continue };
         slices[n].dead += u64::from(fleet_figures::at_dead(record, &dead).is_some());
         match &record.kind {
             RecordKind::Arrived { .. } => *slices[n].came.entry(record.component.clone()).or_default() += 1,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -118,9 +118,9 @@
     /// only if a fault of the scenario needs a process to act on.
     pub fn has_processes(&self, tier: usize) -> bool {
         let needs_process = |fault: &Fault| {
-            let parts = self.components(&fault.components);
+            let components = self.components(&fault.components);
             fault.kind.needs_process()
-                && parts.first().is_some_and(|(t, letter, _)| (*t, *letter) == (tier, 'p'))
+                && components.first().is_some_and(|(t, letter, _)| (*t, *letter) == (tier, 'p'))
         };
         match self.tiers[tier].balance {
             Balance::Sparlug => true,
@@ -137,9 +137,9 @@
             if !grows && fault.kind != FaultKind::Shrink {
                 continue;
             }
-            let parts = self.components(&fault.components);
+            let components = self.components(&fault.components);
             for (n, (_, _, proxy)) in
-                parts.iter().enumerate().filter(|(_, (t, letter, _))| (*t, *letter) == (tier, 'p'))
+                components.iter().enumerate().filter(|(_, (t, letter, _))| (*t, *letter) == (tier, 'p'))
             {
                 let at = fault.at + fault.step.scaled(n as f64);
                 let known = first.entry(*proxy).or_insert((at, grows));
