--- a/crates/proxy/tests/fault_soak.rs
+++ b/crates/proxy/tests/fault_soak.rs
@@ -1,7 +1,22 @@
-//! Soak test with system calls that fail at random, drawn from a seed. Clients send requests all the time, on
-//! open connections even until the process is killed, which happens as early as is allowed after SIGTERM.
-//! Every request that was read gets a complete response, none runs twice, and no effect of a fault outlasts
-//! it.
+//! Soak test with system calls that fail at random, drawn from a seed. Clients send requests in a loop: while
+//! faults are injected, in a phase without faults after that, and after SIGTERM, on open connections until
+//! the process ends.
+//!
+//! Checked for each request (see `soak::checks`):
+//! - It gets a complete response, of any status, by its timeout plus a margin. Exceptions: its client closed
+//!   the connection; a fault may have ended the connection; a fault blocked all accepts, reads or writes for
+//!   clients until then; or it was sent late in the shutdown, crossed the close of its connection and reached
+//!   no backend. A response that is complete by its length but has wrong content is always a failure.
+//! - An at-most-once request reaches backends at most once in all. Safe requests may be retried.
+//! - No attempt starts later than a short time after its client has closed the connection, and none gets
+//!   noticeably more time than its request has left.
+//!
+//! Checked for the process:
+//! - Of the requests that start and end in the phase without faults, after a short recovery, at least 90% get
+//!   status 200; requests whose client closed the connection are not counted.
+//! - After that phase the limit of client connections is what it was before the faults, and the processor time
+//!   used so far is within a bound.
+//! - After SIGTERM the process ends with exit code 0 before the time at which SIGKILL may come.
 //!
 //! `SOAK_SEEDS=FROM..TO` selects seeds other than those of CI.
 
--- a/crates/proxy/tests/soak/checks.rs
+++ b/crates/proxy/tests/soak/checks.rs
@@ -8,8 +8,8 @@
 
 /// Time after SIGTERM from which on the proxy closes open connections.
 const CLOSES_AFTER: Duration = Duration::from_millis(550);
-/// A fault may close a connection this long before the client sends on it: its last check of the connection
-/// has not yet seen that.
+/// A fault may end a connection up to this long before the client sends on it, too late for the client to
+/// detect it before sending.
 const UNSEEN_CLOSE: Duration = Duration::from_millis(20);
 /// Time in which the proxy notices that a client has gone.
 const CLIENT_GONE_SLACK: Duration = Duration::from_millis(100);
@@ -69,7 +69,7 @@
     );
 }
 
-/// Describes a request that got no complete response although no fault excuses that.
+/// Describes a request that got no complete response in time, unless a fault or the shutdown excuses that.
 fn check_answered(record: &RequestRecord, run: &RunRecord) -> Option<String> {
     let start = run.faults[0].from;
     let violation = || {
@@ -85,7 +85,7 @@
         RequestEnd::Answered { complete: false, .. } => return violation(),
         RequestEnd::ConnectionEnded { .. } | RequestEnd::TimedOut => {}
     }
-    // No response is owed on a connection that has ended according to the kernel.
+    // The proxy cannot respond on a connection on which a read or write failed with an error that ends it.
     let ends_connection = |injected: &&InjectedFault| {
         injected.may_end_client_connections() && injected.overlaps(record.sent - UNSEEN_CLOSE, record.ended)
     };
@@ -95,8 +95,8 @@
         .iter()
         .any(|injected| ends_connection(&injected) || injected.blocked_clients(record.sent, deadline));
     let arrived = run.arrivals.iter().any(|all| !all.with_id(&record.id).is_empty());
-    // The request crossed the close of its connection, or of the listener, during shutdown and was never
-    // read.
+    // The request was sent while the proxy closed its connection, or the listener, during the shutdown, and
+    // was never read.
     let crossed_close = record.sent > run.sigterm_at + CLOSES_AFTER
         && !arrived
         && matches!(record.end, RequestEnd::ConnectionEnded { bytes: 0, .. })
--- a/crates/proxy/tests/soak/clients.rs
+++ b/crates/proxy/tests/soak/clients.rs
@@ -33,11 +33,11 @@
     ClientGone,
 }
 
-#[derive(Clone, Debug)]
 /// A request and its result.
+#[derive(Clone, Debug)]
 pub struct RequestRecord {
     pub id: String,
-    /// The request is at most once: it must not run twice.
+    /// The request belongs to the at-most-once class; otherwise it belongs to the safe class.
     pub at_most_once: bool,
     pub timeout: Duration,
     /// When sending started.
