--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -527,7 +527,7 @@
 /// Guards against suspicious lists from discovery, such as empty or much shorter ones: each causes a log line,
 /// and requests are still served.
 #[test]
-fn odd_lists_are_logged_and_fail_no_request() {
+fn suspicious_lists_are_logged_and_fail_no_request() {
     let backend = backend();
     let address = backend.local_addr().unwrap();
     let proxy = Proxy::start(&[&backend]);
