--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -13,7 +13,7 @@
 
 const CAPACITY_PAUSE: Span = Span::from_millis(20); // while the connection limit is reached
 const FAILURE_PAUSE: Span = Span::from_millis(5); // after a call that lacked a resource
-const MAX_FAILURES_PER_ACCEPT: usize = 64; // of single connections in a row, then others get a turn
+const MAX_FAILURES_PER_ACCEPT: usize = 64; // of single connections in a row, before other sockets are handled
 
 /// A listening TCP or Unix socket.
 pub trait Listener: Source {
--- a/crates/proxy/src/buffered_stream.rs
+++ b/crates/proxy/src/buffered_stream.rs
@@ -14,7 +14,7 @@
 
 use crate::io_failures::Cause;
 
-const MAX_INTERRUPTED_CALLS: u32 = 16; // in a row, before other streams get their turn
+const MAX_INTERRUPTED_CALLS: u32 = 16; // in a row, before other sockets are handled
 const CHUNK_BYTES: usize = 16 * 1024; // read per call; also the least number of written bytes to free early
 pub const RETRY_PAUSE: Span = Span::from_millis(5); // before repeating a call that lacked a resource
 
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -119,8 +119,8 @@
         }
         client.state = ClientState::Reading;
         client.deadline = Some(io.deadlines.set(io.now + IDLE_TIMEOUT, TimerEvent::ClientTimeout(slot)));
-        // Pipelined requests that were already received cause no further event. They wait for the next turn
-        // of the loop, so that one client's many requests do not delay all others.
+        // Pipelined requests that were already received cause no further event. They wait for the next
+        // iteration of the loop, so that one client's many requests do not delay all others.
         if client.stream.has_unread() || !client.stream.input.is_empty() {
             io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Client(slot)));
         }
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -63,7 +63,7 @@
     }
 
     /// Sequence number of the deadline set last. Passed to `pop_due`, it leaves deadlines that are set
-    /// meanwhile to the next round.
+    /// meanwhile to the next iteration of the event loop.
     pub fn last_sequence(&self) -> u64 {
         self.sequence
     }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -17,7 +17,7 @@
 use crate::deadlines::DeadlineId;
 use crate::shared::{IoContext, Owner, TimerEvent};
 
-/// Datagrams that are read before other sockets get their turn; the event loop comes back for the rest.
+/// Datagrams that are read before other sockets are handled; the event loop comes back for the rest.
 const MAX_DATAGRAMS_PER_READ: usize = 64;
 /// The kernel's receive buffer, for datagrams that arrive while the event loop is busy.
 const RECEIVE_BUFFER_BYTES: usize = 256 * 1024;
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -13,7 +13,7 @@
 use crate::shared::{IoContext, Owner};
 use crate::startup::retry_transient;
 
-/// Datagrams that are read before other sockets get their turn; the event loop comes back for the rest.
+/// Datagrams that are read before other sockets are handled; the event loop comes back for the rest.
 const MAX_DATAGRAMS_PER_READ: usize = 64;
 
 /// The socket for messages between peers, and the addresses of all proxies of the tier, ordered by ordinal.
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -353,7 +353,7 @@
 
     /// The order in which ready sockets are handled. Operators come first, so that their requests do not wait
     /// behind a flood of clients. Clients that have closed come next, so that capacity that becomes free in
-    /// the same turn does not go to a request for which nobody waits.
+    /// the same iteration is not given to a request whose client has closed its connection.
     fn prioritize(&mut self, events: &Events) -> Vec<Owner> {
         let [mut admin, mut closed, mut rest] = [Vec::new(), Vec::new(), Vec::new()];
         for event in events {
@@ -376,7 +376,9 @@
         match owner {
             Owner::Listener => self.clients.accept(&mut self.io),
             Owner::Signals => self.handle_signals(),
-            Owner::Discovery(turn) => self.discovery.handle_event(turn, &mut self.io),
+            Owner::Discovery(connection_number) => {
+                self.discovery.handle_event(connection_number, &mut self.io)
+            }
             Owner::Client(slot) => self.clients.handle_ready(slot, &mut self.io),
             Owner::Conn(slot) => self.pool.handle_ready(slot, &mut self.io),
             Owner::Management => self.management.accept(&mut self.io),
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -220,7 +220,7 @@
             Owner::Handover => (0, 3),
             Owner::Peers => (0, 4),
             Owner::Fleet => (0, 5),
-            Owner::Discovery(turn) => (1, u64::from(turn)),
+            Owner::Discovery(connection_number) => (1, u64::from(connection_number)),
             Owner::Client(slot) => (2, slot.to_number()),
             Owner::Conn(slot) => (3, slot.to_number()),
             Owner::Call(slot) => (4, slot.to_number()),
