--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -169,7 +169,7 @@
         }
         loop {
             if !self.make_room(io) {
-                self.log_full(true);
+                self.set_full(true);
                 if self.descriptor_limit.is_some() {
                     // The process's limit may have been raised.
                     self.set_descriptor_limit(descriptor_capacity());
@@ -178,7 +178,7 @@
             }
             match self.acceptor.accept(io) {
                 Accepted::Connection(stream) => self.add_connection(stream, io),
-                Accepted::Empty => return self.log_full(false),
+                Accepted::Empty => return self.set_full(false),
                 Accepted::Failed(error) if is_descriptor_limit(&error) => {
                     return self.limit_by_descriptors(io)
                 }
--- a/crates/proxy/src/clients/capacity.rs
+++ b/crates/proxy/src/clients/capacity.rs
@@ -22,12 +22,14 @@
         }
     }
 
+    /// Limits connections to three quarters of `capacity`, or only to the configured limit if that is lower.
+    /// Logs each change, also when the limit rises again.
     pub(super) fn set_descriptor_limit(&mut self, capacity: usize) {
         let limit = Some((capacity * 3 / 4).max(1)).filter(|limit| *limit < self.budgets.clients);
         if std::mem::replace(&mut self.descriptor_limit, limit) != limit {
             tracing::warn!(
                 clients = self.limit(),
-                "client connections limited by the process's limit of descriptors"
+                "limit of client connections adapted to the process's limit of descriptors"
             );
         }
     }
@@ -66,7 +68,7 @@
     }
 
     /// Records whether the limit is reached, and logs each change of that, not each connection.
-    pub(super) fn log_full(&mut self, full: bool) {
+    pub(super) fn set_full(&mut self, full: bool) {
         if std::mem::replace(&mut self.full, full) != full {
             let (clients, unfinished) = (self.connections.count(), self.unfinished_count());
             let message = if full {
--- a/crates/proxy/tests/accept_failures.rs
+++ b/crates/proxy/tests/accept_failures.rs
@@ -139,7 +139,7 @@
     set_limit(40).unwrap();
     let mut clients: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
     proxy.wait_for_log("cannot accept");
-    proxy.wait_for_log("client connections limited by the process's limit");
+    proxy.wait_for_log("limit of client connections adapted to the process's limit");
     set_limit(1024).unwrap();
     let start = Instant::now();
     for client in &mut clients {
