--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -553,7 +553,9 @@
         io.backend_connections -= 1;
         if matches!(result, AttemptResult::KeptBroke { .. }) {
             if self.successful_reuses >= MIN_SUCCESSFUL_REUSES {
-                tracing::info!("idle connections break when reused; unrepeatable requests get new ones");
+                tracing::info!(
+                    "a reused idle connection broke; requests that must not run twice use new connections for now"
+                );
             }
             self.successful_reuses = 0;
         }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -535,7 +535,11 @@
         if self.balancer.disabled().any(|other| other == backend) == disabled {
             return;
         }
-        tracing::info!(host = self.pool.host(backend), barred = disabled, "set by an operator");
+        tracing::info!(
+            host = self.pool.host(backend),
+            barred = disabled,
+            "backend disabled or enabled by an operator"
+        );
         self.handle_event(Event::SetDisabled { backend, disabled });
         let message =
             HandoverMessage::SetDisabled { backend: control_messages::backend_key(backend), disabled };
