--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -12,7 +12,9 @@
     settings, unreachable_backend, write, Proxy,
 };
 
-/// Longer than the loop goes on without polling the sockets for readiness.
+/// Longer than the 5 ms (`SOCKET_CHECK_PAUSE` in proxy.rs) of failing waits after which the proxy checks all
+/// sockets, in an order that does not put closed clients first. SIGSTOP and SIGCONT interrupt a wait of the
+/// loop; although it lasts this long, it must not cause that check.
 const STOPPED_TIME: Duration = Duration::from_millis(20);
 
 fn long_deadlines() -> String {
