--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -174,7 +174,8 @@
     pub counts: Counts,
 }
 
-/// FNV-1a, 64 bits.
+/// FNV-1a, 64 bits. Used below to hash the names of duties and members, and by the proxy to derive its ordinal
+/// from its name.
 pub fn fnv1a(bytes: impl Iterator<Item = u8>) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     bytes.fold(0xcbf2_9ce4_8422_2325, step)
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -114,7 +114,7 @@
     /// Exchanges the full state with one random member. The interval grows with the fleet, so that the
     /// traffic of each member grows more slowly than the fleet.
     pub(crate) fn exchange_state(&mut self, actions: &mut Vec<Action>) {
-        let scale = (self.alive() as f64 / 32.0).log2().max(0.0) + 1.0;
+        let scale = (self.present() as f64 / 32.0).log2().max(0.0) + 1.0;
         let after = STATE_EXCHANGE_INTERVAL.scaled(scale * (0.75 + 0.5 * f64::from(self.rng.rand_float())));
         self.set_timer(after, TimerEvent::StateExchange);
         if self.is_excluded() {
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -385,7 +385,7 @@
     }
 
     /// Number of present members, including the proxy itself.
-    pub fn alive(&self) -> usize {
+    pub fn present(&self) -> usize {
         self.totals.0
     }
 
@@ -431,12 +431,12 @@
         actions: &mut Vec<Action>,
     ) {
         let mut message = self.envelope(body);
-        let alive = self.alive();
+        let present = self.present();
         message.updates.extend(first);
         if max_updates > 0 && self.announced {
             let max_bytes = wire::remaining_bytes(&message);
             let name = message.updates.first().map(|record| record.name.clone());
-            let queued = self.updates.take(max_bytes, max_updates, alive);
+            let queued = self.updates.take(max_bytes, max_updates, present);
             message.updates.extend(queued.into_iter().filter(|record| Some(&record.name) != name.as_ref()));
         }
         actions.push(Action::Send { to, bytes: wire::encode(&message) });
@@ -600,7 +600,7 @@
     fn update_member_count(&mut self) {
         // Suspects may be cut off already, so the divisor without them counts too: otherwise both sides of a
         // partition could take themselves for the majority.
-        let (present, total) = (self.alive(), self.expected());
+        let (present, total) = (self.present(), self.expected());
         let target = share_divisor(present, total).max(share_divisor(present - self.totals.2, total));
         // A member that others declared dead is not heard by them: what it sees says nothing of the shares
         // they take.
@@ -627,14 +627,14 @@
             self.others.values().map(|member| status(&member.record, member.state_since)).collect();
         members.push(status(&self.local, Time::ORIGIN));
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        let (alive, expected) = (self.alive(), self.expected());
+        let (present, expected) = (self.present(), self.expected());
         View {
             fleet: self.settings.fleet.clone(),
             local_name: self.local.name.clone(),
             members,
-            alive,
+            present,
             expected,
-            has_majority: alive * 2 > expected,
+            has_majority: present * 2 > expected,
             member_count: self.member_count(),
             excluded: self.is_excluded(),
         }
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -141,9 +141,9 @@
 
     /// How long a suspicion lasts that this many members have confirmed, not counting the one that raised it.
     fn suspicion_duration(&self, confirmations: usize) -> Span {
-        let alive = self.alive();
-        let min = PROBE_INTERVAL.scaled(MIN_SUSPICION_PROBE_INTERVALS * (alive as f64).log10().max(1.0));
-        let wanted = CONFIRMATIONS_FOR_MIN_SUSPICION.min(alive.saturating_sub(2));
+        let present = self.present();
+        let min = PROBE_INTERVAL.scaled(MIN_SUSPICION_PROBE_INTERVALS * (present as f64).log10().max(1.0));
+        let wanted = CONFIRMATIONS_FOR_MIN_SUSPICION.min(present.saturating_sub(2));
         if wanted == 0 {
             return min;
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -24,7 +24,7 @@
     /// Sorted by name, including the proxy itself.
     pub members: Vec<MemberStatus>,
     /// Number of present members, including suspects and the proxy itself.
-    pub alive: usize,
+    pub present: usize,
     /// Usual number of members: the configured number, or the number of known members that have not left if
     /// that is larger.
     pub expected: usize,
--- a/crates/fleet/tests/search.rs
+++ b/crates/fleet/tests/search.rs
@@ -231,7 +231,7 @@
                     let view = sim.nodes[n].membership.view(sparlug::time::Time::ORIGIN);
                     format!(
                         "{n}: {} of {} present, divides by {}",
-                        view.alive, view.expected, view.member_count
+                        view.present, view.expected, view.member_count
                     )
                 });
                 let describe_views = || views.collect::<Vec<_>>().join("; ");
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -311,7 +311,7 @@
         });
         let json = serde_json::json!({
             "fleet": view.fleet, "self": view.local_name, "members": members.collect::<Vec<_>>(),
-            "alive": view.alive, "expected": view.expected, "majority": view.has_majority,
+            "alive": view.present, "expected": view.expected, "majority": view.has_majority,
             "counted": view.member_count, "kept_out": view.excluded, "duties": duties.collect::<Vec<_>>(),
         });
         Some(format!("{json}\n"))
@@ -323,7 +323,7 @@
         let counts = running.membership.counts;
         let mut text = String::new();
         for (name, value) in [
-            ("alive", view.alive),
+            ("alive", view.present),
             ("expected", view.expected),
             ("counted", view.member_count),
             ("majority", usize::from(view.has_majority)),
