--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -191,7 +191,8 @@
     /// The last other process that claimed this process's address: its generation, and when it was last told
     /// who is reached there.
     pub(crate) address_claimant: (u64, Time),
-    /// When it last learned that others declared it dead.
+    /// When the proxy last learned that others declared it dead. Never set at present, so the rule that reads it
+    /// in `update_member_count` has no effect.
     pub(crate) reported_dead_at: Option<Time>,
     /// The last address contacted to reconnect: the first reply from there is answered with the full state.
     pub(crate) reconnect_target: Option<SocketAddr>,
@@ -602,8 +603,8 @@
         // partition could take themselves for the majority.
         let (present, total) = (self.present(), self.expected());
         let target = share_divisor(present, total).max(share_divisor(present - self.totals.2, total));
-        // A member that others declared dead is not heard by them: what it sees says nothing of the shares
-        // they take.
+        // A member that others declared dead is ignored by them: the members that it sees say nothing about the
+        // shares that the others take. No effect at present, since `reported_dead_at` is never set.
         let unheard = self.reported_dead_at.is_some_and(|at| self.now.since(at) < REPORTED_DEAD_PERIOD);
         let target = if unheard { target.max(total as f64) } else { target };
         self.view_changed |= self.member_count.update(target, self.now);
