--- a/tools/bodies.py
+++ b/tools/bodies.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
 """What bodies cost a proxy: memory with long ones both ways, and CPU with short ones.
 
-    tools/bodies.py long PROXY [COUNT [MB]]       peak memory with COUNT uploads and answers of MB each at once
-    tools/bodies.py short PROXY OTHER [ROUNDS]    CPU a short exchange, both programs in turn, as a ratio
-    tools/bodies.py load HOST:PORT/CLASS SECONDS  eight callers, half on new connections, and how all their requests ended
+    tools/bodies.py long PROXY [COUNT [MB]]       peak memory with COUNT uploads and responses of MB each at once
+    tools/bodies.py short PROXY OTHER [ROUNDS]    CPU per short request, both programs in turn, as a ratio
+    tools/bodies.py load HOST:PORT/CLASS SECONDS  eight clients, half on new connections, and how all their requests ended
 
-PROXY is a `sparlug-proxy`. Everything is on loopback, and ends by itself."""
+PROXY is a `sparlug-proxy`. Everything is on loopback, and ends on its own."""
 import itertools, json, socket, subprocess, sys, tempfile, threading, time
 
 SETTINGS = {
@@ -34,7 +34,7 @@
 
 
 def backend(size):
-    """Answers each request, once its body is whole, with `size` bytes."""
+    """Responds to each request, once its body is complete, with `size` bytes."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
 
     def serve(conn):
@@ -100,7 +100,7 @@
     proxy = Proxy(program, backend(size))
     idle = proxy.peak_mb()
 
-    def ask(number):
+    def run_client(number):
         conn = proxy.connect()
         text = "POST /write HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nRequest-Timeout: 8\r\nContent-Length: %d\r\n\r\n"
         conn.sendall((text % (number, size)).encode())
@@ -116,35 +116,35 @@
             time.sleep(0.005)  # a slow reader
         results.append((status, got))
 
-    threads = [threading.Thread(target=ask, args=(number,)) for number in range(count)]
+    threads = [threading.Thread(target=run_client, args=(number,)) for number in range(count)]
     [thread.start() for thread in threads]
     [thread.join() for thread in threads]
-    whole = sum(1 for status, got in results if (status, got) == (b"200", size))
-    print("%d of %d whole both ways, %d MB each; peak memory %.1f MB, %.1f MB before" %
-          (whole, count, megabytes, proxy.peak_mb(), idle))
+    complete = sum(1 for status, got in results if (status, got) == (b"200", size))
+    print("%d of %d complete in both directions, %d MB each; peak memory %.1f MB, %.1f MB before" %
+          (complete, count, megabytes, proxy.peak_mb(), idle))
     proxy.end()
 
 
-def short(program, other, rounds=8, asks=8000):
+def short(program, other, rounds=8, requests=8000):
     at, figures = backend(200), {program: [], other: []}
     for turn in range(rounds):
         for each in [program, other] if turn % 2 else [other, program]:
             proxy = Proxy(each, at)
 
-            def ask(first):
+            def run_client(first):
                 conn = proxy.connect()
                 stream = conn.makefile("rb")
-                for number in range(first, first + asks // 4):
+                for number in range(first, first + requests // 4):
                     conn.sendall(b"GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nRequest-Timeout: 5\r\n\r\n" % number)
                     stream.read(length(head(stream)))
 
-            threads = [threading.Thread(target=ask, args=(part * asks,)) for part in range(4)]
+            threads = [threading.Thread(target=run_client, args=(part * requests,)) for part in range(4)]
             [thread.start() for thread in threads]
             [thread.join() for thread in threads]
-            figures[each].append(proxy.cpu() / asks * 1e6)
+            figures[each].append(proxy.cpu() / requests * 1e6)
             proxy.end()
     means = [sum(figures[each]) / rounds for each in (program, other)]
-    print("us of CPU a short exchange: %s, %s; in the mean %.1f and %.1f, ratio %.3f" %
+    print("us of CPU per short request: %s, %s; in the mean %.1f and %.1f, ratio %.3f" %
           (*([round(figure, 1) for figure in figures[each]] for each in (program, other)), *means, means[0] / means[1]))
 
 
@@ -153,11 +153,11 @@
     host, port = address.split(":")
     stop = time.time() + seconds
 
-    def ask(keeps):
+    def run_client(keeps):
         conn = stream = None
         while time.time() < stop:
-            end = "closed unanswered"
-            # A kept connection may end between requests; the request then goes once more, on a new one.
+            end = "closed without a response"
+            # A persistent connection may end between requests; the request is then sent again on a new one.
             for fresh in (conn is None, True):
                 if conn is None:
                     conn = socket.create_connection((host, int(port)), 5)
@@ -166,20 +166,20 @@
                 text = "GET /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: l%d\r\nRequest-Timeout: 0.5\r\n%s\r\n"
                 try:
                     conn.sendall((text % (path, next(numbers), close)).encode())
-                    answer = head(stream)
+                    response = head(stream)
                 except OSError as e:
-                    answer, end = None, str(e)
-                if answer is not None:
-                    stream.read(length(answer))
-                    end = answer.split()[1].decode()
-                    conn = None if b"connection: close" in answer.lower() else conn
+                    response, end = None, str(e)
+                if response is not None:
+                    stream.read(length(response))
+                    end = response.split()[1].decode()
+                    conn = None if b"connection: close" in response.lower() else conn
                     break
                 conn = None
                 if fresh:
                     break
             ends[end] = ends.get(end, 0) + 1
 
-    threads = [threading.Thread(target=ask, args=(number % 2 == 0,)) for number in range(8)]
+    threads = [threading.Thread(target=run_client, args=(number % 2 == 0,)) for number in range(8)]
     [thread.start() for thread in threads]
     [thread.join() for thread in threads]
     print("%d requests ended: %s" % (sum(ends.values()), ends))
