--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -88,7 +88,7 @@
             });
         });
     }
-    // Lists enough backends for the limit to have room for all requests.
+    // Lists enough backends for the limit to allow all requests.
     for pending in [10, 1000, 10_000] {
         group.bench_function(BenchmarkId::new("held", pending), |b| {
             b.iter_batched_ref(
--- a/crates/command/src/demo.rs
+++ b/crates/command/src/demo.rs
@@ -128,7 +128,7 @@
         if !self.views.is_empty() {
             for (proxy, state) in self.states.iter().filter(|(name, _)| name.contains("/p-")) {
                 let view = self.views.get(proxy).map_or(
-                    "sees nobody yet".to_string(),
+                    "sees no members yet".to_string(),
                     |(present, dead, member_count)| {
                         format!("sees {present} present, {dead} dead, divides by {member_count}")
                     },
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -83,7 +83,7 @@
     let found = records.iter().find(|record| {
         matches!(&record.kind, RecordKind::HealthReported { proxy, health, .. } if proxy == name && health != "Ready")
     });
-    found.unwrap_or_else(|| panic!("{name} was never told")).t
+    found.unwrap_or_else(|| panic!("no drain was reported to {name}")).t
 }
 
 #[test]
--- a/crates/command/tests/members.rs
+++ b/crates/command/tests/members.rs
@@ -100,9 +100,9 @@
     let excluded_is = |expected: bool| move |view: Value| view["kept_out"] == expected;
     wait_until("it excludes itself", || fleet_view(&wrong_address).is_some_and(excluded_is(true)));
     wait_until("the other three see each other", || all_see_members(&all.iter().collect::<Vec<_>>(), &names));
-    // While p-2 is stopped nobody answers at the address; once resumed, p-2 is a member as before.
+    // While p-2 is stopped no process answers at the address; once resumed, p-2 is a member as before.
     send_signal(&all[2], "-STOP");
-    wait_until("nobody is reachable at the address", || {
+    wait_until("no process is reachable at the address", || {
         fleet_view(&wrong_address).is_some_and(excluded_is(false))
     });
     send_signal(&all[2], "-CONT");
--- a/crates/fleet/src/duties.rs
+++ b/crates/fleet/src/duties.rs
@@ -174,16 +174,16 @@
     pub counts: Counts,
 }
 
-/// FNV-1a, 64 bits. Used below to hash the names of duties and members, and by the proxy to derive its ordinal
-/// from its name.
+/// FNV-1a, 64 bits. Used below to hash the names of duties and members, and by the proxy to derive its
+/// ordinal from its name.
 pub fn fnv1a(bytes: impl Iterator<Item = u8>) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     bytes.fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-/// Hash of a sequence of words: FNV-1a with the finaliser of splitmix64.
-fn hash(words: &[&str]) -> u64 {
-    let mut hash = fnv1a(words.iter().flat_map(|word| word.bytes().chain([0])));
+/// Hash of a sequence of strings: FNV-1a with the finaliser of splitmix64.
+fn hash(strings: &[&str]) -> u64 {
+    let mut hash = fnv1a(strings.iter().flat_map(|string| string.bytes().chain([0])));
     for (shift, factor) in [(30, 0xbf58_476d_1ce4_e5b9), (27, 0x94d0_49bb_1331_11eb_u64)] {
         hash = (hash ^ (hash >> shift)).wrapping_mul(factor);
     }
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -99,7 +99,7 @@
         let grant = self.grants.get(&duty);
         let highest = grant.map_or(self.min_term, |grant| grant.term);
         let current = grant.filter(|grant| grant.until.is_some_and(|until| now < until));
-        // A holder may renew its own term, and a new term is granted while nobody else holds the duty. A
+        // A holder may renew its own term, and a new term is granted while no other member holds the duty. A
         // released term can't be renewed.
         let grantable = match grant {
             Some(grant) if grant.term == term => grant.holder == holder.0 && grant.until.is_some(),
--- a/crates/fleet/src/lifecycle.rs
+++ b/crates/fleet/src/lifecycle.rs
@@ -201,7 +201,7 @@
 
     // Conflicts between two processes with one name or address.
 
-    /// Another process is said to use this process's name or address: checks whether it is running.
+    /// Another process reportedly uses this process's name or address: checks whether it is running.
     pub(crate) fn open_conflict(&mut self, other: &MemberRecord, actions: &mut Vec<Action>) {
         if self.conflict.is_some() || other.generation == self.local.generation || self.leaving {
             return;
@@ -298,8 +298,8 @@
     }
 
     /// Handles a message of another process that advertises this process's address. Answers sent to that
-    /// address would come back here, so the sender is told at its source address who is reached there, at
-    /// most once per probe interval.
+    /// address would come back here, so the sender is notified at its source address which member is reached
+    /// there, at most once per probe interval.
     pub(crate) fn receive_from_address_claimant(
         &mut self,
         sender: &MemberRecord,
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -29,7 +29,7 @@
 /// Limit on known other members, so that forged claims can't fill the memory.
 pub(crate) const MAX_MEMBERS: usize = 4096;
 pub(crate) const MAX_PIGGYBACKED: usize = 8; // updates on a probe or its answer
-/// How long the proxy assumes that others don't hear it after it learns that they declared it dead.
+/// How long the proxy assumes that others ignore its messages after it learns that they declared it dead.
 const REPORTED_DEAD_PERIOD: Span = Span::from_millis(15_000);
 const GENERATION_RANDOM_BITS: u32 = 20; // below the milliseconds of the process's start
 const LOG_BURST_LINES: f64 = 20.0;
@@ -170,7 +170,7 @@
     pub(crate) rng: Rand32,
     pub(crate) now: Time,
     pub(crate) local: MemberRecord,
-    /// All other members ever heard of and not yet forgotten.
+    /// All other members that the proxy knows of, in any state, until they are removed.
     pub(crate) others: BTreeMap<String, Member>,
     /// Members to probe next, in a random order in which each occurs once.
     pub(crate) probe_order: Vec<String>,
@@ -188,11 +188,11 @@
     pub(crate) joined: bool,
     pub(crate) leaving: bool,
     pub(crate) conflict: Option<IdentityConflict>,
-    /// The last other process that claimed this process's address: its generation, and when it was last told
-    /// who is reached there.
+    /// The last other process that claimed this process's address: its generation, and when it was last
+    /// notified which member is reached there.
     pub(crate) address_claimant: (u64, Time),
-    /// When the proxy last learned that others declared it dead. Never set at present, so the rule that reads it
-    /// in `update_member_count` has no effect.
+    /// When the proxy last learned that others declared it dead. Never set at present, so the rule that reads
+    /// it in `update_member_count` has no effect.
     pub(crate) reported_dead_at: Option<Time>,
     /// The last address contacted to reconnect: the first reply from there is answered with the full state.
     pub(crate) reconnect_target: Option<SocketAddr>,
@@ -603,10 +603,10 @@
         // partition could take themselves for the majority.
         let (present, total) = (self.present(), self.expected());
         let target = share_divisor(present, total).max(share_divisor(present - self.totals.2, total));
-        // A member that others declared dead is ignored by them: the members that it sees say nothing about the
-        // shares that the others take. No effect at present, since `reported_dead_at` is never set.
-        let unheard = self.reported_dead_at.is_some_and(|at| self.now.since(at) < REPORTED_DEAD_PERIOD);
-        let target = if unheard { target.max(total as f64) } else { target };
+        // A member that others declared dead is ignored by them: the members that it sees say nothing about
+        // the shares that the others take. No effect at present, since `reported_dead_at` is never set.
+        let ignored = self.reported_dead_at.is_some_and(|at| self.now.since(at) < REPORTED_DEAD_PERIOD);
+        let target = if ignored { target.max(total as f64) } else { target };
         self.view_changed |= self.member_count.update(target, self.now);
     }
 
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -154,7 +154,7 @@
         sim.run(20 * S);
         assert!(sim.nodes[misconfigured].membership.view(Time::ORIGIN).excluded);
         assert!((0..4).all(|n| sim.present_in_view(n).len() == 4), "{:?}", sim.present_in_view(0));
-        // Once nobody answers at that address, the misconfigured process takes part again.
+        // Once no process answers at that address, the misconfigured process takes part again.
         sim.kill(3);
         sim.run(40 * S);
         assert!(!sim.nodes[misconfigured].membership.view(Time::ORIGIN).excluded);
--- a/crates/fleet/tests/search.rs
+++ b/crates/fleet/tests/search.rs
@@ -274,7 +274,7 @@
         sim.run(60 * MS);
     }
     assert!(sim.time_to_agreement(20 * S).is_some());
-    // A member that was frozen for 20 s declares nobody dead when it resumes, and is accepted again.
+    // A member that was frozen for 20 s declares no other member dead when it resumes, and is accepted again.
     sim.freeze(3, 20 * S);
     sim.run(20 * S);
     assert!(sim.time_to_agreement(10 * S).is_some());
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -308,8 +308,8 @@
                 io.deadlines.set(io.now, TimerEvent::Recheck(Owner::Client(slot)));
             }
         }
-        // The end of the connection counts even behind more pipelined requests than are read at once: nobody
-        // waits for their responses.
+        // The end of the connection counts even behind more pipelined requests than are read at once: no
+        // client waits for their responses.
         if let Err(e) = read {
             io.counters.failures.count(SystemCall::Read, &e);
             return self.close(slot, CloseReason::ReadFailed, io);
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -127,7 +127,9 @@
             || backends < MIN_BUDGET
             || buffer_bytes < MIN_BUDGET * MAX_BUFFERED_MESSAGE_BYTES
         {
-            return Err(format!("limits of {sockets} sockets and {memory_mb} MB leave no room to serve"));
+            return Err(format!(
+                "limits of {sockets} sockets and {memory_mb} MB are too low to serve requests"
+            ));
         }
         Ok(Budgets { clients, backends, total, idle: backends * 3 / 4, buffer_bytes })
     }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -299,7 +299,7 @@
         tracing::info!(successor, why, "the other process of the handover is gone");
         io.events.push_back(ProxyEvent::HandoverPeerChanged);
         // The successor had taken the socket's path to wait for its own successor. Guards against a later
-        // process finding nobody to take over from.
+        // process finding no process to take over from.
         if successor && !self.has_successor() && self.acceptor.listener().is_some() {
             self.wait_for_successor(io);
         }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
 //! The proxy program: carries out sparlug's decisions on sockets, in front of the one tier of backends that
-//! its configuration names. See `docs/architecture.md` for the life of a request.
+//! its configuration names. See `docs/architecture.md` for how a request is processed.
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -206,7 +206,7 @@
         let initial_budgets = budgets[usize::from(handover.is_overlapping())];
         let mut setup = config.setup;
         let peers = Peers::new(setup.peer_addresses, setup.settings.ordinal, managed, &io)?;
-        // Without any peer's address there is nobody to send messages to.
+        // Without any peer's address, no messages can be sent.
         setup.settings.peer_messages &= peers.has_peers() || setup.fleet.is_some();
         let zone = setup.zone_names.get(usize::from(setup.settings.zone.0)).map_or("", String::as_str);
         let identity = (config.name.as_str(), zone, setup.settings.instances);
@@ -302,7 +302,7 @@
 
     /// Serves until it is told to shut down and all requests have their responses.
     pub fn run(mut self) -> io::Result<()> {
-        // Room for an event of every descriptor: otherwise the end of a connection can wait in the kernel
+        // Capacity for an event of every descriptor: otherwise the end of a connection can wait in the kernel
         // behind a flood of other events.
         let mut events = Events::with_capacity(self.budgets[0].total + RESERVED_SOCKETS);
         while !self.is_shut_down() {
--- a/crates/proxy/src/proxy/requests.rs
+++ b/crates/proxy/src/proxy/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the proxy: it is received, attempted, given its response and removed.
+//! The processing of a request in the proxy: it is received, attempted, given its response and removed.
 
 use super::{PendingRequest, Proxy, StreamedBody, MAX_REPLAY_BYTES};
 use crate::attempt_result::AttemptResult;
@@ -65,7 +65,7 @@
         start_by: Option<Time>,
     ) {
         // The client may have closed its connection without the proxy having read that yet; reading now
-        // avoids sending a request for which nobody waits.
+        // avoids sending a request whose client has gone.
         if let Some(client) =
             self.pending.get(RequestSlot::from_number(request.0)).and_then(|pending| pending.client)
         {
--- a/crates/proxy/tests/connection_reuse.rs
+++ b/crates/proxy/tests/connection_reuse.rs
@@ -1,5 +1,5 @@
-//! Reuse of idle connections to backends on which a stray response or a close arrives along with the next
-//! request.
+//! Reuse of idle connections to backends on which an unsolicited response or a close arrives along with the
+//! next request.
 
 mod helper;
 
@@ -27,7 +27,7 @@
 /// the proxy sees it before it uses the connection again, also when it finds both in one iteration of its
 /// loop.
 #[test]
-fn stray_response_is_not_matched_to_the_next_request_of_the_same_iteration() {
+fn unsolicited_response_is_not_matched_to_the_next_request_of_the_same_iteration() {
     let (proxy, backend, mut first, mut second_client) = proxy_with_an_idle_backend_connection();
     proxy.pause();
     write(&mut second_client, &keep_alive_request("GET", "/read"));
--- a/crates/proxy/tests/discovery_outage.rs
+++ b/crates/proxy/tests/discovery_outage.rs
@@ -127,7 +127,7 @@
 
 /// In the `on_request` mode one service handles the requests of all proxies one after another. Guards against
 /// requests that time out before the service gets to them, each of which delays the next: a busy service then
-/// serves nobody.
+/// completes none.
 #[test]
 fn busy_list_service_gets_one_request_and_time_to_respond() {
     let backends = Backends::new();
--- a/crates/proxy/tests/transfer_failures.rs
+++ b/crates/proxy/tests/transfer_failures.rs
@@ -133,7 +133,7 @@
     assert_eq!(helper::counter(&proxy, "left"), 1);
 }
 
-/// Guards against a connection whose small writes are delayed (no `TCP_NODELAY`) for all its life because
+/// Guards against a connection whose small writes are delayed (no `TCP_NODELAY`) until it is closed because
 /// setting the option failed once.
 #[test]
 fn a_socket_option_that_could_not_be_set_is_set_later() {
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -120,7 +120,7 @@
         let (count, length) = (fields.u32().map_err(in_batch)?, fields.u32().map_err(in_batch)? as usize);
         let now = Time::from_ms(fields.f64().map_err(in_batch)?);
         let Some(body_length) = length.checked_sub(HEADER_BYTES - 8) else {
-            return Err(in_batch(format!("length {length} leaves no room for the clock")));
+            return Err(in_batch(format!("length {length} is too short for the time")));
         };
         body.clear();
         let read = input
--- a/src/event.rs
+++ b/src/event.rs
@@ -220,7 +220,7 @@
     CloseIdle {
         backend: BackendId,
     },
-    /// Call off attempts on their way to a backend of which nothing is written yet; they count as never sent.
+    /// Cancel attempts at a backend of which nothing is written yet; they count as never sent.
     Withdraw {
         backend: BackendId,
     },
@@ -240,7 +240,7 @@
 /// Why a request gets no response from a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The limit has no room for the request, nor for it to wait.
+    /// The concurrency limit allows neither an attempt now nor queueing the request.
     Overloaded,
     /// No response can be expected in the time that is left.
     TooLate,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -124,13 +124,13 @@
 
 impl Backend {
     fn is_ready(&self, now: Time, settings: &Settings) -> bool {
-        let has_room = match self.ejected_until {
+        let has_capacity = match self.ejected_until {
             None => self.max_in_flight.is_none_or(|max| self.occupancy() < max),
             Some(until) => now >= until && self.in_flight < 1.0,
         };
         let has_credit =
             self.slow_start_credit >= 1.0 || settings.slow_start.capacity_ratio(self.started(), now) >= 1.0;
-        self.listing.condition == Condition::Ready && has_room && has_credit && now >= self.full_until
+        self.listing.condition == Condition::Ready && has_capacity && has_credit && now >= self.full_until
     }
 
     fn handle(&mut self, message: BackendMessage, context: &mut BackendContext) {
@@ -205,7 +205,7 @@
 
     fn tick(&mut self, context: &mut BackendContext) {
         // All instances together must not overload a backend in its slow start: each sends it its part of
-        // what its present capacity bears, measured by what its peers handle.
+        // what its present capacity can handle, measured by what its peers handle.
         let slow_start = &context.settings.slow_start;
         let min_rate =
             2.0 / (context.settings.instances as f64 * (slow_start.overload_window.ms() / 1000.0).max(0.1));
@@ -722,8 +722,8 @@
         actions.push(Action::Refuse { request: id, backoff, reason });
     }
 
-    /// Sends the next request that waits, if the limit has room; first attempts before retries. Returns
-    /// whether there is anything more to do.
+    /// Sends the next request that waits, if the limit allows one more; first attempts before retries.
+    /// Returns whether there is anything more to do.
     fn send_next(&mut self, actions: &mut Vec<Action>) -> bool {
         // A request that would be late gives up its place. A retry of an at-most-once request, which its
         // client must not repeat, is tried as long as a mean response would be in time.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -44,7 +44,7 @@
     pub slow_start: SlowStart,
 }
 
-/// The load that a backend can bear after its start.
+/// The load that a backend can handle after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     /// The part of its full capacity that it has at its start.
@@ -107,7 +107,7 @@
         deadline: Time,
         cost: Option<Span>,
     ) -> (Time, Time) {
-        // Leaves room for the time between two batches and for the response's way back.
+        // Leaves time for the interval between two batches and for the transfer of the response.
         let margin = self.batch_interval.scaled(2.0) + Span::from_millis(2);
         let (latest, stretch) = (deadline - margin, cost.unwrap_or_default().scaled(class.target_stretch));
         let target = latest.min(now + class.deadline.min(class.target + stretch) - margin);
--- a/src/state.rs
+++ b/src/state.rs
@@ -163,7 +163,7 @@
     pub p90: Mean,
     /// The same of responses alone.
     pub response_p90: Mean,
-    /// The one of the two that the limit goes by.
+    /// The one of the two by which the limit is adjusted.
     pub latency: Mean,
     /// The latency without a queue.
     pub baseline: Mean,
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,6 +1,6 @@
 //! Simulates many instances that send to backends in slow start. Whatever the instances know, all of them
 //! together must not overload a backend: within the configured window it may get N + 2 * sqrt(N) + 2
-//! requests, where N is the load that it can bear, a multiple of its present capacity.
+//! requests, where N is the load that it can handle, a multiple of its present capacity.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -31,7 +31,7 @@
 enum Scenario {
     /// One new backend starts.
     NewBackend,
-    /// A third of the backends, all of one zone, is gone for two seconds and starts again.
+    /// A third of the backends, all of one zone, stops and starts again two seconds later.
     ZoneReturns,
     /// The same, and half a second later a third of the instances restart and no longer know what they sent.
     InstancesRestart,
