--- a/crates/proxy/tests/fault_matrix.rs
+++ b/crates/proxy/tests/fault_matrix.rs
@@ -1,6 +1,7 @@
 //! Fault matrix: under load, every kind of call fails with each of its errors for one second, either always
-//! or one call in three. Every request is answered meanwhile, and in the five seconds after the fault the
-//! proxy serves as before.
+//! or one call in three. Each request is checked as in the soak test (see `fault_soak.rs`). Soon after the
+//! fault the proxy serves at least 90% of the requests for five seconds, and then has the same limit of
+//! client connections as before and excludes no backend. The processor time during the fault is bounded.
 //!
 //! `MATRIX=all` runs every error; otherwise only the first error of each call runs.
 
