--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -54,7 +54,7 @@
 
 /// Sends one HTTP request and returns the body of the response; any status but 200 is an error.
 fn http_request(address: SocketAddr, request_line: &str) -> Result<String, String> {
-    let connection_error = |e: std::io::Error| format!("{address}: request failed: {e}");
+    let connection_error = |e: std::io::Error| format!("{address}: no answer: {e}");
     let mut stream = TcpStream::connect_timeout(&address, PROXY_TIMEOUT).map_err(connection_error)?;
     stream.set_read_timeout(Some(PROXY_TIMEOUT)).map_err(connection_error)?;
     stream
@@ -63,7 +63,7 @@
     let mut response = String::new();
     stream.read_to_string(&mut response).map_err(connection_error)?;
     let (head, body) =
-        response.split_once("\r\n\r\n").ok_or_else(|| format!("{address}: response is not HTTP"))?;
+        response.split_once("\r\n\r\n").ok_or_else(|| format!("{address}: no answer that can be read"))?;
     if !head.starts_with("HTTP/1.1 200") {
         return Err(format!("{address}: {}", body.trim()));
     }
@@ -74,7 +74,7 @@
 fn fetch_view(address: SocketAddr) -> Result<ProxyView, String> {
     let body = http_request(address, "GET /fleet")?;
     let json: Value =
-        serde_json::from_str(&body).map_err(|e| format!("{address}: response is not JSON: {e}"))?;
+        serde_json::from_str(&body).map_err(|e| format!("{address}: no answer that can be read: {e}"))?;
     let string_field = |value: &Value, field: &str| value[field].as_str().unwrap_or_default().to_string();
     let members = json["members"].as_array().cloned().unwrap_or_default();
     let states =
